--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/AimdLimit.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/AimdLimit.java
@@ -1,22 +1,23 @@
 package org.alderyard.proxy.limit;
 
 /**
- * Additive increase, multiplicative decrease: grows while the server is as fast as it was idle.
+ * Adjusts the limit by additive increase and multiplicative decrease (AIMD).
  *
- * <p>A latency above {@link #SLOW_FACTOR} times the least one of late, or no answer, is the sign
- * that other proxies' statements stand in front of ours at the server.
+ * <p>A latency above {@link #SLOW_FACTOR} times the recent minimum, or a missing answer, indicates
+ * that statements of other proxies are queued at the server, and lowers the limit. The limit grows
+ * while latency stays near the latency of an idle server.
  */
 public final class AimdLimit implements ConcurrencyLimit {
   static final double SLOW_FACTOR = 2.0;
-  static final double DECREASE = 0.8;
-  static final double INCREASE = 0.1;
+  static final double DECREASE_FACTOR = 0.8;
+  static final double INCREASE_STEP = 0.1;
 
   private final int slots;
-  private final RecentMinimum least = new RecentMinimum();
+  private final RecentMinimum recentMinimum = new RecentMinimum();
   private double limit;
   private int samplesUntilNextDecrease;
 
-  /** Creates a limit that starts at, and never exceeds, the slots of the server. */
+  /** Creates a limit that starts at the number of slots of the server and never exceeds it. */
   public AimdLimit(int slots) {
     this.slots = Math.max(1, slots);
     this.limit = this.slots;
@@ -31,22 +32,25 @@
   public void sample(long latencyNanos, int inFlight, boolean answered) {
     samplesUntilNextDecrease--;
     if (answered) {
-      least.add(latencyNanos);
+      recentMinimum.add(latencyNanos);
     }
-    boolean slow = !answered || latencyNanos > SLOW_FACTOR * least.value();
+    boolean slow = !answered || latencyNanos > SLOW_FACTOR * recentMinimum.value();
     if (slow) {
       decrease();
     } else if (inFlight >= current()) {
-      limit = Math.min(slots, limit + INCREASE / limit);
+      limit = Math.min(slots, limit + INCREASE_STEP / limit);
     }
   }
 
-  /** Statements that were sent before a decrease say nothing of it yet. */
+  /**
+   * Lowers the limit, at most once per round of statements: statements sent before a decrease do
+   * not show its effect.
+   */
   private void decrease() {
     if (samplesUntilNextDecrease > 0) {
       return;
     }
-    limit = Math.max(1, limit * DECREASE);
+    limit = Math.max(1, limit * DECREASE_FACTOR);
     samplesUntilNextDecrease = current();
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/ConcurrencyLimit.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/ConcurrencyLimit.java
@@ -2,22 +2,22 @@
 
 import org.alderyard.common.id.ServerId;
 
-/** How many statements one proxy runs at one server at once. Not safe for several threads. */
+/** Limits how many statements one proxy runs concurrently on one server. Not thread-safe. */
 public interface ConcurrencyLimit {
 
   /** Returns the limit, at least 1. */
   int current();
 
   /**
-   * Takes in the end of a statement.
+   * Records the end of a statement.
    *
-   * @param latencyNanos how long the server took
-   * @param inFlight the statements that ran when it ended, itself included
-   * @param answered whether the server gave an answer
+   * @param latencyNanos the time the server took, in nanoseconds
+   * @param inFlight the number of statements in flight when this statement ended, including it
+   * @param answered whether the server answered
    */
   void sample(long latencyNanos, int inFlight, boolean answered);
 
-  /** Makes limits for servers. */
+  /** Creates the limits of servers. */
   @FunctionalInterface
   interface Factory {
 
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/ConnectionPacer.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/ConnectionPacer.java
@@ -6,43 +6,48 @@
 import java.util.function.IntSupplier;
 
 /**
- * Bounds the pace at which connections to one server are opened.
+ * Limits the rate at which connections to one server are opened.
  *
- * <p>Guards against the rush after a failover: every proxy needs the new primary at once, and a
- * server that spends its time on opening connections (about 10 ms each) answers no statement. Safe
- * for several threads; the lock is a leaf.
+ * <p>After a failover every proxy connects to the new primary at the same time. Opening a
+ * connection costs a server about 10 ms, so without a rate limit the new primary would only open
+ * connections and answer no statements.
+ *
+ * <p>Thread-safe. No other lock is acquired while the lock of this object is held.
  */
 public final class ConnectionPacer {
   private final IntSupplier perSecond;
   private final int burst;
-  // Guarded by this. When the next connection may be opened if none had been saved up.
-  private long nextNanos;
-  private boolean started;
+  // Guarded by this. The time of the next permit, in the past while burst permits are available.
+  private long nextOpenNanos;
+  private boolean initialized;
 
   /**
    * Creates a pacer.
    *
-   * @param perSecond the connections that are opened in a second, at most; asked each time
-   * @param burst the connections that may be opened at once after a quiet time
+   * @param perSecond supplies the maximum number of connections per second; read on each attempt
+   * @param burst the number of connections that may be opened without delay after an idle period
    */
   public ConnectionPacer(IntSupplier perSecond, int burst) {
     this.perSecond = Objects.requireNonNull(perSecond);
     this.burst = Math.max(1, burst);
   }
 
-  /** Takes a turn; returns how long to wait before trying again, or nothing if it is granted. */
-  public synchronized OptionalLong tryOpen(long nowNanos) {
+  /**
+   * Tries to acquire a permit. Returns the nanoseconds to wait before the next attempt, or empty if
+   * the permit is granted.
+   */
+  public synchronized OptionalLong tryAcquire(long nowNanos) {
     long intervalNanos = TimeUnit.SECONDS.toNanos(1) / Math.max(1, perSecond.getAsInt());
-    long earliest = nowNanos - (burst - 1) * intervalNanos;
-    if (!started || nextNanos - earliest < 0) {
-      nextNanos = earliest;
-      started = true;
+    long earliestNanos = nowNanos - (burst - 1) * intervalNanos;
+    if (!initialized || nextOpenNanos - earliestNanos < 0) {
+      nextOpenNanos = earliestNanos;
+      initialized = true;
     }
-    long waitNanos = nextNanos - nowNanos;
+    long waitNanos = nextOpenNanos - nowNanos;
     if (waitNanos > 0) {
       return OptionalLong.of(waitNanos);
     }
-    nextNanos += intervalNanos;
+    nextOpenNanos += intervalNanos;
     return OptionalLong.empty();
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/Entrant.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/Entrant.java
@@ -3,17 +3,17 @@
 import java.util.Objects;
 
 /**
- * A statement that wants to run at a server.
+ * A statement that requests execution on a server.
  *
- * @param flow whose it is
- * @param write whether only the primary can run it
- * @param deadlineNanos when its caller gives up
- * @param work what the shell starts or refuses
- * @param <T> the type of the work
+ * @param flow the pool and caller of the statement, used for fair queueing
+ * @param write whether only the primary can run the statement
+ * @param deadlineNanos the monotonic time, in nanoseconds, at which the caller times out
+ * @param work the item that is handed back when the statement is started or refused
+ * @param <T> the type of the work item
  */
 public record Entrant<T>(Flow flow, boolean write, long deadlineNanos, T work) {
 
-  /** Checks. */
+  /** Validates the components. */
   public Entrant {
     Objects.requireNonNull(flow);
     Objects.requireNonNull(work);
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/FairQueue.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/FairQueue.java
@@ -10,33 +10,34 @@
 import org.alderyard.common.id.PoolName;
 
 /**
- * A queue that serves pools in turn, and the callers of a pool in turn. Not safe for several
- * threads.
+ * A queue that serves pools in round-robin order, and the callers within a pool likewise. Not
+ * thread-safe.
  *
- * <p>Guards against one caller that floods: in one line its work would stand in front of everybody
- * else's until their deadlines are over. Here a caller waits for one statement of each other one.
+ * <p>In a single FIFO queue the statements of one flooding caller would delay those of all other
+ * callers past their deadlines. Here a statement waits for at most one statement of each other
+ * caller per round.
  *
- * @param <T> the type of the work
+ * @param <T> the type of the work item
  */
 final class FairQueue<T> {
   private final Map<PoolName, Map<Flow, ArrayDeque<Entrant<T>>>> pools = new LinkedHashMap<>();
   private int size;
-  private int flows;
+  private int flowCount;
 
   void add(Entrant<T> entrant) {
     Map<Flow, ArrayDeque<Entrant<T>>> callers =
         pools.computeIfAbsent(entrant.flow().pool(), pool -> new LinkedHashMap<>());
-    ArrayDeque<Entrant<T>> line = callers.get(entrant.flow());
-    if (line == null) {
-      line = new ArrayDeque<>();
-      callers.put(entrant.flow(), line);
-      flows++;
+    ArrayDeque<Entrant<T>> queue = callers.get(entrant.flow());
+    if (queue == null) {
+      queue = new ArrayDeque<>();
+      callers.put(entrant.flow(), queue);
+      flowCount++;
     }
-    line.addLast(entrant);
+    queue.addLast(entrant);
     size++;
   }
 
-  /** Removes the next one. */
+  /** Removes and returns the next statement in round-robin order. */
   Optional<Entrant<T>> poll() {
     if (size == 0) {
       return Optional.empty();
@@ -44,14 +45,14 @@
     PoolName pool = pools.keySet().iterator().next();
     Map<Flow, ArrayDeque<Entrant<T>>> callers = pools.remove(pool);
     Flow flow = callers.keySet().iterator().next();
-    ArrayDeque<Entrant<T>> line = callers.remove(flow);
-    final Entrant<T> next = line.removeFirst();
+    ArrayDeque<Entrant<T>> queue = callers.remove(flow);
+    final Entrant<T> next = queue.removeFirst();
     size--;
-    if (line.isEmpty()) {
-      flows--;
+    if (queue.isEmpty()) {
+      flowCount--;
     } else {
-      // Served once: to the end of the turn.
-      callers.put(flow, line);
+      // Moves the flow to the end of the round.
+      callers.put(flow, queue);
     }
     if (!callers.isEmpty()) {
       pools.put(pool, callers);
@@ -59,13 +60,16 @@
     return Optional.of(next);
   }
 
-  /** Removes the newest one of the longest line, if that line is longer than the given one's. */
+  /**
+   * Removes and returns the newest statement of the longest flow, provided that this flow stays at
+   * least as long as the given flow with one more statement.
+   */
   Optional<Entrant<T>> displaceFor(Flow flow) {
     ArrayDeque<Entrant<T>> longest = null;
     for (Map<Flow, ArrayDeque<Entrant<T>>> callers : pools.values()) {
-      for (ArrayDeque<Entrant<T>> line : callers.values()) {
-        if (longest == null || line.size() > longest.size()) {
-          longest = line;
+      for (ArrayDeque<Entrant<T>> queue : callers.values()) {
+        if (longest == null || queue.size() > longest.size()) {
+          longest = queue;
         }
       }
     }
@@ -76,7 +80,7 @@
     return Optional.of(longest.removeLast());
   }
 
-  /** Removes all that match. */
+  /** Removes and returns all statements that match the condition. */
   List<Entrant<T>> removeIf(Predicate<Entrant<T>> condition) {
     List<Entrant<T>> removed = new ArrayList<>();
     pools
@@ -86,27 +90,30 @@
               callers
                   .values()
                   .removeIf(
-                      line -> {
-                        line.removeIf(entrant -> condition.test(entrant) && removed.add(entrant));
-                        return line.isEmpty();
+                      queue -> {
+                        queue.removeIf(entrant -> condition.test(entrant) && removed.add(entrant));
+                        return queue.isEmpty();
                       });
               return callers.isEmpty();
             });
     size -= removed.size();
-    flows = pools.values().stream().mapToInt(Map::size).sum();
+    flowCount = pools.values().stream().mapToInt(Map::size).sum();
     return removed;
   }
 
   int lengthOf(Flow flow) {
-    ArrayDeque<Entrant<T>> line = pools.getOrDefault(flow.pool(), Map.of()).get(flow);
-    return line == null ? 0 : line.size();
+    ArrayDeque<Entrant<T>> queue = pools.getOrDefault(flow.pool(), Map.of()).get(flow);
+    return queue == null ? 0 : queue.size();
   }
 
-  /** Returns how many are served before a new one of this flow, at most. */
-  int aheadOf(Flow flow) {
-    int own = lengthOf(flow);
-    int lines = own == 0 ? flows + 1 : flows;
-    return (int) Math.min(size, (own + 1L) * lines - 1);
+  /**
+   * Returns the maximum number of queued statements that are served before a new statement of this
+   * flow.
+   */
+  int maxServedBefore(Flow flow) {
+    int ownLength = lengthOf(flow);
+    int queues = ownLength == 0 ? flowCount + 1 : flowCount;
+    return (int) Math.min(size, (ownLength + 1L) * queues - 1);
   }
 
   int size() {
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/Flow.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/Flow.java
@@ -4,14 +4,14 @@
 import org.alderyard.common.id.PoolName;
 
 /**
- * Whose work a statement is, for fairness.
+ * The pool and caller of a statement, the unit of fair queueing.
  *
- * @param pool the pool
- * @param caller the caller, by its id or its address
+ * @param pool the pool that the statement addresses
+ * @param caller the id or the address of the caller
  */
 public record Flow(PoolName pool, String caller) {
 
-  /** Checks. */
+  /** Validates the components. */
   public Flow {
     Objects.requireNonNull(pool);
     Objects.requireNonNull(caller);
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/GateChange.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/GateChange.java
@@ -4,9 +4,11 @@
 import java.util.List;
 
 /**
- * What follows from one event at a gate; the shell performs it.
+ * The statements that a {@link ServerGate} starts and refuses in response to one event.
  *
- * @param <T> the type of the work
+ * <p>The caller of the limiter runs and fails them.
+ *
+ * @param <T> the type of the work item
  */
 public final class GateChange<T> {
   private final List<Entrant<T>> started = new ArrayList<>();
@@ -20,12 +22,12 @@
     refused.add(new Refused<>(entrant, reason, retryAfterMillis));
   }
 
-  /** Returns what runs now. */
+  /** Returns the statements to start. */
   public List<Entrant<T>> started() {
     return started;
   }
 
-  /** Returns what is refused now; it never ran and never will. */
+  /** Returns the refused statements. They have not run and will not run. */
   public List<Refused<T>> refused() {
     return refused;
   }
@@ -34,9 +36,9 @@
    * A refused statement.
    *
    * @param entrant the statement
-   * @param reason why
-   * @param retryAfterMillis when its caller should come back
-   * @param <T> the type of the work
+   * @param reason the reason for the refusal
+   * @param retryAfterMillis the delay after which the caller may retry, in milliseconds
+   * @param <T> the type of the work item
    */
   public record Refused<T>(Entrant<T> entrant, RefusalReason reason, long retryAfterMillis) {}
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/Gates.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/Gates.java
@@ -15,9 +15,10 @@
 import org.alderyard.common.time.MonotonicClock;
 
 /**
- * The gates of all servers, for the workers of a proxy.
+ * The limiters of all servers, for use by the worker threads of a proxy.
  *
- * <p>Lock: the object itself, a leaf. Futures are completed by the executor after it is released.
+ * <p>Thread-safe. The lock is this object, and no other lock is acquired while it is held. Futures
+ * are completed by the executor after the lock is released.
  */
 public final class Gates {
   private final MonotonicClock clock;
@@ -26,11 +27,11 @@
   private final Executor executor;
   private final RefusalListener listener;
   // Guarded by this.
-  private final Map<ServerId, ServerGate<CompletableFuture<Permit>>> gates = new HashMap<>();
+  private final Map<ServerId, ServerGate<CompletableFuture<Permit>>> limiters = new HashMap<>();
   // Guarded by this.
   private final Map<ServerId, Integer> peakQueued = new HashMap<>();
 
-  /** Creates a table of gates, each with a queue of the given capacity. */
+  /** Creates an empty table. The limiter of each server gets a queue of the given capacity. */
   public Gates(
       MonotonicClock clock,
       ConcurrencyLimit.Factory limits,
@@ -45,85 +46,91 @@
   }
 
   /**
-   * Asks to run a statement.
+   * Requests a permit to run a statement.
    *
    * @param server the server
-   * @param slots the statements that the server runs at once
+   * @param slots the number of statements that the server runs concurrently
    * @param primary whether the server is the primary
-   * @return a permit once the statement may run, to be ended by the caller; fails with {@code
-   *     OVERLOADED} and {@code NOT_RUN} as soon as it is known that it will not run
+   * @return completes with a permit, which the caller must end, when the statement may run. Fails
+   *     with {@code NOT_RUN} as soon as the statement is refused, with the code {@code
+   *     DEADLINE_EXCEEDED} if its deadline came near while it was queued, and {@code OVERLOADED}
+   *     otherwise
    */
   public CompletableFuture<Permit> enter(
       ServerId server, int slots, boolean primary, Flow flow, boolean write, long deadlineNanos) {
     CompletableFuture<Permit> result = new CompletableFuture<>();
     GateChange<CompletableFuture<Permit>> change;
     synchronized (this) {
-      ServerGate<CompletableFuture<Permit>> gate = gate(server, slots);
-      gate.primary(primary);
-      change = gate.enter(new Entrant<>(flow, write, deadlineNanos, result), clock.nowNanos());
-      peakQueued.merge(server, gate.queued(), Math::max);
+      ServerGate<CompletableFuture<Permit>> limiter = limiter(server, slots);
+      limiter.primary(primary);
+      change = limiter.enter(new Entrant<>(flow, write, deadlineNanos, result), clock.nowNanos());
+      peakQueued.merge(server, limiter.queued(), Math::max);
     }
-    perform(server, change);
+    apply(server, change);
     return result;
   }
 
-  /** Returns how many more reads the server takes now if it is the primary. */
+  /** Returns how many further reads the server accepts, with the server treated as the primary. */
   public synchronized int readRoom(ServerId server, int slots) {
-    ServerGate<CompletableFuture<Permit>> gate = gate(server, slots);
-    gate.primary(true);
-    return gate.readRoom();
+    ServerGate<CompletableFuture<Permit>> limiter = limiter(server, slots);
+    limiter.primary(true);
+    return limiter.readRoom();
   }
 
-  /** Refuses at all gates what cannot make its deadline any more; to be called every few ms. */
+  /**
+   * Refuses all queued statements that can no longer meet their deadlines. Must be called every few
+   * milliseconds.
+   */
   public void sweep() {
     Map<ServerId, GateChange<CompletableFuture<Permit>>> changes = new HashMap<>();
     synchronized (this) {
       long now = clock.nowNanos();
-      gates.forEach((server, gate) -> changes.put(server, gate.sweep(now)));
+      limiters.forEach((server, limiter) -> changes.put(server, limiter.sweep(now)));
     }
-    changes.forEach(this::perform);
+    changes.forEach(this::apply);
   }
 
-  /** Gives up a statement that waits; does nothing if it was started. */
-  public void cancel(ServerId server, CompletableFuture<Permit> waiting) {
+  /** Cancels a queued statement. Has no effect if the statement was started. */
+  public void cancel(ServerId server, CompletableFuture<Permit> queuedPermit) {
     boolean cancelled;
     synchronized (this) {
-      ServerGate<CompletableFuture<Permit>> gate = gates.get(server);
-      cancelled = gate != null && gate.cancel(waiting);
+      ServerGate<CompletableFuture<Permit>> limiter = limiters.get(server);
+      cancelled = limiter != null && limiter.cancel(queuedPermit);
     }
     if (cancelled) {
-      waiting.cancel(false);
+      queuedPermit.cancel(false);
     }
   }
 
-  /** Returns the most statements that waited for a server since the last call. */
+  /** Returns the maximum number of statements that were queued for a server since the last call. */
   public synchronized int takePeakQueued(ServerId server) {
-    ServerGate<CompletableFuture<Permit>> gate = gates.get(server);
-    if (gate == null) {
+    ServerGate<CompletableFuture<Permit>> limiter = limiters.get(server);
+    if (limiter == null) {
       return 0;
     }
-    int now = gate.queued();
+    int now = limiter.queued();
     Integer peak = peakQueued.put(server, now);
     return peak == null ? now : Math.max(peak, now);
   }
 
-  /** Returns the statements that wait at all gates. */
+  /** Returns the number of queued statements of all servers. */
   public synchronized int queued() {
-    return gates.values().stream().mapToInt(ServerGate::queued).sum();
+    return limiters.values().stream().mapToInt(ServerGate::queued).sum();
   }
 
-  /** Returns the statements that run at all gates. */
+  /** Returns the number of statements in flight on all servers. */
   public synchronized int inFlight() {
-    return gates.values().stream().mapToInt(ServerGate::inFlight).sum();
+    return limiters.values().stream().mapToInt(ServerGate::inFlight).sum();
   }
 
-  private ServerGate<CompletableFuture<Permit>> gate(ServerId server, int slots) {
-    return gates.computeIfAbsent(
+  private ServerGate<CompletableFuture<Permit>> limiter(ServerId server, int slots) {
+    return limiters.computeIfAbsent(
         server, id -> new ServerGate<>(limits.create(id, slots), queueCapacity));
   }
 
   private void leave(ServerId server, boolean write, long latencyNanos, boolean answered) {
-    change(server, () -> gates.get(server).leave(write, latencyNanos, answered, clock.nowNanos()));
+    change(
+        server, () -> limiters.get(server).leave(write, latencyNanos, answered, clock.nowNanos()));
   }
 
   private void change(ServerId server, Supplier<GateChange<CompletableFuture<Permit>>> event) {
@@ -131,10 +138,10 @@
     synchronized (this) {
       change = event.get();
     }
-    perform(server, change);
+    apply(server, change);
   }
 
-  private void perform(ServerId server, GateChange<CompletableFuture<Permit>> change) {
+  private void apply(ServerId server, GateChange<CompletableFuture<Permit>> change) {
     List<Entrant<CompletableFuture<Permit>>> started = new ArrayList<>(change.started());
     for (Entrant<CompletableFuture<Permit>> entrant : started) {
       Permit permit = new Permit(server, entrant.write(), clock.nowNanos());
@@ -147,28 +154,33 @@
     }
     for (GateChange.Refused<CompletableFuture<Permit>> refused : change.refused()) {
       listener.refused(server, refused.entrant().flow(), refused.reason());
-      executor.execute(() -> refused.entrant().work().completeExceptionally(error(refused)));
+      executor.execute(() -> refused.entrant().work().completeExceptionally(refusalError(refused)));
     }
   }
 
-  /** Nothing is sent before a permit is given, so a refused statement did not run. */
-  private static AlderyardException error(GateChange.Refused<?> refused) {
-    boolean late = refused.reason() == RefusalReason.DEADLINE_NEAR;
+  /**
+   * Returns the error of a refusal. The outcome is NOT_RUN because nothing is sent without a
+   * permit.
+   */
+  private static AlderyardException refusalError(GateChange.Refused<?> refused) {
+    boolean deadlineNear = refused.reason() == RefusalReason.DEADLINE_NEAR;
     return AlderyardException.notRun(
-        late ? ErrorCode.DEADLINE_EXCEEDED : ErrorCode.OVERLOADED,
+        deadlineNear ? ErrorCode.DEADLINE_EXCEEDED : ErrorCode.OVERLOADED,
         "the server is busy: " + refused.reason(),
         refused.retryAfterMillis());
   }
 
-  /** Is told of each refusal. */
+  /** Receives a notification for each refused statement. */
   @FunctionalInterface
   public interface RefusalListener {
 
-    /** Takes in a refusal; must not block. */
+    /** Called for each refusal. Must not block. */
     void refused(ServerId server, Flow flow, RefusalReason reason);
   }
 
-  /** The right to run one statement at one server; ended exactly once. */
+  /**
+   * The permission to run one statement on one server. Only the first call to end it has an effect.
+   */
   public final class Permit {
     private final ServerId server;
     private final boolean write;
@@ -181,14 +193,14 @@
       this.startedNanos = startedNanos;
     }
 
-    /** Ends the statement; whether the server answered is a sign for the limit. */
+    /** Ends the statement. The latency, and whether the server answered, adjust the limit. */
     public void end(boolean answered) {
       if (ended.compareAndSet(false, true)) {
         leave(server, write, Math.max(1, clock.nowNanos() - startedNanos), answered);
       }
     }
 
-    /** Ends a statement that was not sent. */
+    /** Ends a statement that was not sent. The limit is not adjusted. */
     public void notSent() {
       if (ended.compareAndSet(false, true)) {
         leave(server, write, 0, true);
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/GradientLimit.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/GradientLimit.java
@@ -1,17 +1,17 @@
 package org.alderyard.proxy.limit;
 
-/** Follows the ratio of the long-term latency to the latest one, smoothed. */
+/** Scales the limit by the smoothed ratio of the long-term latency to the latest latency. */
 public final class GradientLimit implements ConcurrencyLimit {
   private static final double TOLERANCE = 2.0;
-  private static final double LONG_TERM_SHARE = 0.002;
+  private static final double LONG_TERM_WEIGHT = 0.002;
   private static final double SMOOTHING = 0.2;
   private static final double MIN_GRADIENT = 0.5;
 
   private final int slots;
-  private double longTermNanos;
+  private double longTermLatencyNanos;
   private double limit;
 
-  /** Creates a limit that starts at, and never exceeds, the slots of the server. */
+  /** Creates a limit that starts at the number of slots of the server and never exceeds it. */
   public GradientLimit(int slots) {
     this.slots = Math.max(1, slots);
     this.limit = this.slots;
@@ -24,16 +24,17 @@
 
   @Override
   public void sample(long latencyNanos, int inFlight, boolean answered) {
-    longTermNanos =
-        longTermNanos == 0
+    longTermLatencyNanos =
+        longTermLatencyNanos == 0
             ? latencyNanos
-            : longTermNanos + LONG_TERM_SHARE * (latencyNanos - longTermNanos);
+            : longTermLatencyNanos + LONG_TERM_WEIGHT * (latencyNanos - longTermLatencyNanos);
     if (inFlight < current() / 2) {
       return;
     }
-    double ratio = answered ? TOLERANCE * longTermNanos / Math.max(1, latencyNanos) : MIN_GRADIENT;
+    double ratio =
+        answered ? TOLERANCE * longTermLatencyNanos / Math.max(1, latencyNanos) : MIN_GRADIENT;
     double gradient = Math.max(MIN_GRADIENT, Math.min(1.0, ratio));
-    double wanted = limit * gradient + Math.sqrt(limit);
-    limit = Math.max(1, Math.min(slots, limit + SMOOTHING * (wanted - limit)));
+    double targetLimit = limit * gradient + Math.sqrt(limit);
+    limit = Math.max(1, Math.min(slots, limit + SMOOTHING * (targetLimit - limit)));
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/LeasedSlots.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/LeasedSlots.java
@@ -4,37 +4,43 @@
 import java.util.function.IntSupplier;
 
 /**
- * The part of a server's slots that goes with this proxy's part of its connections.
+ * Limits this proxy to a part of the server's slots, in proportion to its share of the server's
+ * connections.
  *
- * <p>Guards against the sum of all proxies: each of a dozen that keeps to the slots of a server by
- * itself sends a dozen times what the server runs at once. Latency tells that only to a proxy that
- * has seen the server idle; the lease is known to all, follows the demand and needs no measurement.
- * Twice the slots are shared, so that the next statement is there when one ends.
+ * <p>If each of a dozen proxies used all slots of a server, the server would receive a dozen times
+ * the statements that it runs concurrently. Latency reveals this only to a proxy that has measured
+ * the idle server, whereas the lease is known to each proxy, follows demand and needs no
+ * measurement. Twice the number of slots is shared out, so that the next statement is already at
+ * the server when one ends.
  */
 public final class LeasedSlots implements ConcurrencyLimit {
   static final int OVERSUBSCRIPTION = 2;
 
   private final int slots;
-  private final IntSupplier leased;
-  private final IntSupplier budget;
+  private final IntSupplier leasedConnections;
+  private final IntSupplier maxConnections;
 
   /**
    * Creates a limit.
    *
-   * @param slots the statements that the server runs at once
-   * @param leased the connections that this proxy may have
-   * @param budget the connections that the server accepts from all proxies
+   * @param slots the number of statements that the server runs concurrently
+   * @param leasedConnections supplies the number of connections that this proxy may have
+   * @param maxConnections supplies the number of connections that the server accepts from all
+   *     proxies
    */
-  public LeasedSlots(int slots, IntSupplier leased, IntSupplier budget) {
+  public LeasedSlots(int slots, IntSupplier leasedConnections, IntSupplier maxConnections) {
     this.slots = Math.max(1, slots);
-    this.leased = Objects.requireNonNull(leased);
-    this.budget = Objects.requireNonNull(budget);
+    this.leasedConnections = Objects.requireNonNull(leasedConnections);
+    this.maxConnections = Objects.requireNonNull(maxConnections);
   }
 
   @Override
   public int current() {
     long share =
-        (long) OVERSUBSCRIPTION * slots * leased.getAsInt() / Math.max(1, budget.getAsInt());
+        (long) OVERSUBSCRIPTION
+            * slots
+            * leasedConnections.getAsInt()
+            / Math.max(1, maxConnections.getAsInt());
     return (int) Math.max(1, Math.min(slots, share));
   }
 
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/RecentMinimum.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/RecentMinimum.java
@@ -1,6 +1,6 @@
 package org.alderyard.proxy.limit;
 
-/** The least latency of the last one to two windows of samples. */
+/** The minimum latency over the last one to two windows of samples. */
 final class RecentMinimum {
   private static final int WINDOW_SAMPLES = 2_000;
 
@@ -18,7 +18,7 @@
     }
   }
 
-  /** Returns the minimum; the greatest number before the first sample. */
+  /** Returns the minimum in nanoseconds, or {@link Long#MAX_VALUE} before the first sample. */
   long value() {
     return Math.min(previous, current);
   }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/RefusalReason.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/RefusalReason.java
@@ -1,15 +1,18 @@
 package org.alderyard.proxy.limit;
 
-/** Why a gate refuses a statement; it did not run in any of these cases. */
+/** The reason why a limiter refuses a statement. A refused statement has not run. */
 public enum RefusalReason {
   /** The queue is full. */
   QUEUE_FULL,
-  /** The queue was full of this caller's work, and another caller came. */
+  /**
+   * The queue was full and the statement was removed in favour of a caller with fewer queued
+   * statements.
+   */
   DISPLACED,
-  /** The wait would outlast the deadline. */
+  /** The expected wait and execution end after the deadline. */
   WOULD_MISS_DEADLINE,
-  /** The wait did outlast the deadline. */
+  /** The statement was queued until too little time was left to run it before its deadline. */
   DEADLINE_NEAR,
-  /** The pool runs as many statements as its ticket allows. */
+  /** The pool already runs as many statements as its change ticket allows. */
   POOL_LIMIT
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/RetryBudget.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/RetryBudget.java
@@ -1,41 +1,43 @@
 package org.alderyard.proxy.limit;
 
 /**
- * Bounds resends to a share of the traffic.
+ * Limits resends to a share of the traffic.
  *
- * <p>Guards against the retry storm: a recovering server fails many statements, each is sent again,
- * and the resends keep it down. Each first try earns a share of a resend; a burst may use what was
- * saved, up to a cap. Safe for several threads; the lock is a leaf.
+ * <p>When a recovering server fails many statements, resending each of them would keep the server
+ * overloaded. Each first attempt adds a fraction of a resend to the budget. The budget accumulates
+ * up to a maximum, which allows short bursts.
+ *
+ * <p>Thread-safe. No other lock is acquired while the lock of this object is held.
  */
 public final class RetryBudget {
-  /** One resend for ten first tries. */
+  /** The default share: one resend for ten first attempts. */
   public static final double DEFAULT_SHARE = 0.1;
 
-  /** The resends that can be saved up. */
+  /** The default maximum number of accumulated resends. */
   public static final double DEFAULT_SAVED = 10;
 
   private final double share;
-  private final double maxSaved;
-  private double saved;
+  private final double maxAvailable;
+  private double available;
 
-  /** Creates a budget that is full. */
-  public RetryBudget(double share, double maxSaved) {
+  /** Creates a full budget. */
+  public RetryBudget(double share, double maxAvailable) {
     this.share = share;
-    this.maxSaved = maxSaved;
-    this.saved = maxSaved;
+    this.maxAvailable = maxAvailable;
+    this.available = maxAvailable;
   }
 
-  /** Counts a first try. */
+  /** Records a first attempt, which adds {@code share} to the budget. */
   public synchronized void firstTry() {
-    saved = Math.min(maxSaved, saved + share);
+    available = Math.min(maxAvailable, available + share);
   }
 
-  /** Takes one resend out of the budget; returns whether there was one. */
+  /** Removes one resend from the budget. Returns false if the budget holds less than one resend. */
   public synchronized boolean tryResend() {
-    if (saved < 1) {
+    if (available < 1) {
       return false;
     }
-    saved -= 1;
+    available -= 1;
     return true;
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/ServerGate.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/ServerGate.java
@@ -6,30 +6,32 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Lets statements to one server: some at once, some in a bounded fair queue, the rest not at all.
+ * Limits the statements sent to one server: runs a bounded number concurrently, queues a bounded
+ * number fairly and refuses the rest.
  *
- * <p>Guards against the collapse under overload, which shows as a server that works at full speed
- * on statements whose callers have given up. A statement that would miss its deadline is refused
- * when it comes, and one whose time runs out while it waits is refused before it is sent: what runs
- * can still be of use. Each refusal is certain not to have run, since nothing was sent.
+ * <p>Without a limit an overloaded server spends its capacity on statements whose callers have
+ * timed out. A statement that would miss its deadline is therefore refused on arrival, and a queued
+ * statement is refused before it is sent once it can no longer meet its deadline. A refused
+ * statement has certainly not run, because nothing was sent.
  *
- * <p>Writes go first, because only the primary can run them. Reads at a primary keep one slot free
- * for writes and may queue only a little: a router sees it in {@link #readRoom()}.
+ * <p>Writes are started before reads, because only the primary can run them. At a primary, reads
+ * leave one slot free for writes, unless the limit is 1, and only a few of them may queue; {@link
+ * #readRoom()} tells a router how many.
  *
- * <p>Not safe for several threads; {@link Gates} holds its lock.
+ * <p>Not thread-safe; {@link Gates} provides the locking.
  *
- * @param <T> the type of the work
+ * @param <T> the type of the work item
  */
 public final class ServerGate<T> {
-  private static final double SERVICE_SMOOTHING = 0.1;
+  private static final double SERVICE_TIME_SMOOTHING = 0.1;
 
-  /** Mean deviations above the mean that a statement is expected to take. */
-  private static final double DEVIATIONS = 3;
+  /** The number of mean deviations added to the mean service time to estimate a slow statement. */
+  private static final double SERVICE_TIME_DEVIATIONS = 3;
 
-  /** Reads that may queue at a primary, for each one that may run. */
+  /** The maximum number of queued reads at a primary, per read that may run concurrently. */
   private static final int QUEUED_READS_FACTOR = 2;
 
-  private static final long MIN_RETRY_MILLIS = 20;
+  private static final long MIN_RETRY_AFTER_MILLIS = 20;
 
   private final ConcurrencyLimit limit;
   private final int queueCapacity;
@@ -38,50 +40,50 @@
   private boolean primary;
   private int writesInFlight;
   private int readsInFlight;
-  private double serviceNanos;
+  private double meanServiceNanos;
   private double deviationNanos;
 
-  /** Creates an open gate. */
+  /** Creates a limiter with no statements. */
   public ServerGate(ConcurrencyLimit limit, int queueCapacity) {
     this.limit = Objects.requireNonNull(limit);
     this.queueCapacity = queueCapacity;
   }
 
-  /** Says whether the server is the primary, so that reads leave room for writes. */
+  /** Sets whether the server is the primary. Reads at a primary leave capacity for writes. */
   public void primary(boolean isPrimary) {
     this.primary = isPrimary;
   }
 
-  /** Takes in a new statement. */
+  /** Queues or refuses a new statement, and starts queued statements if capacity is available. */
   public GateChange<T> enter(Entrant<T> entrant, long nowNanos) {
     GateChange<T> change = new GateChange<>();
     FairQueue<T> queue = queueOf(entrant);
-    long wait = waitNanos(entrant, queue);
-    boolean late = nowNanos + wait + slowServiceNanos() > entrant.deadlineNanos();
-    if (late) {
-      change.refuse(entrant, RefusalReason.WOULD_MISS_DEADLINE, retryMillis());
+    long waitNanos = expectedWaitNanos(entrant, queue);
+    boolean missesDeadline = nowNanos + waitNanos + slowServiceNanos() > entrant.deadlineNanos();
+    if (missesDeadline) {
+      change.refuse(entrant, RefusalReason.WOULD_MISS_DEADLINE, retryAfterMillis());
       return change;
     }
-    if (queued() >= queueCapacity && !makeRoom(entrant, queue, change)) {
-      change.refuse(entrant, RefusalReason.QUEUE_FULL, retryMillis());
+    if (queued() >= queueCapacity && !displaceQueued(entrant, queue, change)) {
+      change.refuse(entrant, RefusalReason.QUEUE_FULL, retryAfterMillis());
       return change;
     }
     queue.add(entrant);
-    startWaiting(nowNanos, change);
+    startQueued(nowNanos, change);
     return change;
   }
 
   /**
-   * Takes in the end of a statement that was started.
+   * Records the end of a started statement and starts queued statements.
    *
-   * @param write whether it was a write
-   * @param latencyNanos how long the server took; 0 if the statement was not sent
-   * @param answered whether the server gave an answer
+   * @param write whether the statement was a write
+   * @param latencyNanos the time the server took, in nanoseconds; 0 if the statement was not sent
+   * @param answered whether the server answered
    */
   public GateChange<T> leave(boolean write, long latencyNanos, boolean answered, long nowNanos) {
     if (latencyNanos > 0) {
       limit.sample(latencyNanos, inFlight(), answered);
-      learn(latencyNanos);
+      recordServiceTime(latencyNanos);
     }
     if (write) {
       writesInFlight--;
@@ -89,61 +91,62 @@
       readsInFlight--;
     }
     GateChange<T> change = new GateChange<>();
-    startWaiting(nowNanos, change);
+    startQueued(nowNanos, change);
     return change;
   }
 
-  private void learn(long latencyNanos) {
-    if (serviceNanos == 0) {
-      serviceNanos = latencyNanos;
+  private void recordServiceTime(long latencyNanos) {
+    if (meanServiceNanos == 0) {
+      meanServiceNanos = latencyNanos;
       return;
     }
-    double difference = latencyNanos - serviceNanos;
-    serviceNanos += SERVICE_SMOOTHING * difference;
-    deviationNanos += SERVICE_SMOOTHING * (Math.abs(difference) - deviationNanos);
+    double difference = latencyNanos - meanServiceNanos;
+    meanServiceNanos += SERVICE_TIME_SMOOTHING * difference;
+    deviationNanos += SERVICE_TIME_SMOOTHING * (Math.abs(difference) - deviationNanos);
   }
 
   /**
-   * What a statement takes at worst, but for a few: those that fail late cost a slot for nothing.
+   * Returns an upper estimate of the service time, which few statements exceed. A statement that
+   * fails late occupies a slot without a result.
    */
   private long slowServiceNanos() {
-    return (long) (serviceNanos + DEVIATIONS * deviationNanos);
+    return (long) (meanServiceNanos + SERVICE_TIME_DEVIATIONS * deviationNanos);
   }
 
-  /** Refuses what waits and cannot make its deadline any more. */
+  /** Refuses queued statements that can no longer meet their deadlines. */
   public GateChange<T> sweep(long nowNanos) {
     GateChange<T> change = new GateChange<>();
     for (FairQueue<T> queue : List.of(writes, reads)) {
       queue
-          .removeIf(entrant -> tooLate(entrant, nowNanos))
-          .forEach(e -> change.refuse(e, RefusalReason.DEADLINE_NEAR, retryMillis()));
+          .removeIf(entrant -> wouldMissDeadline(entrant, nowNanos))
+          .forEach(e -> change.refuse(e, RefusalReason.DEADLINE_NEAR, retryAfterMillis()));
     }
     return change;
   }
 
-  /** Removes a statement that waits, if its caller is gone. */
+  /** Removes a queued statement. Returns whether the statement was queued. */
   public boolean cancel(T work) {
     return !writes.removeIf(entrant -> entrant.work() == work).isEmpty()
         || !reads.removeIf(entrant -> entrant.work() == work).isEmpty();
   }
 
-  /** Returns how many more reads a primary takes now. */
+  /** Returns how many further reads a primary accepts. May be negative. */
   public int readRoom() {
-    int slots = readSlots();
-    return slots * (1 + QUEUED_READS_FACTOR) - readsInFlight - reads.size();
+    int concurrentReads = maxConcurrentReads();
+    return concurrentReads * (1 + QUEUED_READS_FACTOR) - readsInFlight - reads.size();
   }
 
-  /** Returns the statements that run. */
+  /** Returns the number of statements in flight. */
   public int inFlight() {
     return writesInFlight + readsInFlight;
   }
 
-  /** Returns the statements that wait. */
+  /** Returns the number of queued statements. */
   public int queued() {
     return writes.size() + reads.size();
   }
 
-  /** Returns the limit of statements that run at once. */
+  /** Returns the maximum number of concurrent statements. */
   public int limit() {
     return limit.current();
   }
@@ -152,29 +155,32 @@
     return entrant.write() ? writes : reads;
   }
 
-  /** How long a new statement waits until it is started, if all goes on as of late. */
-  private long waitNanos(Entrant<T> entrant, FairQueue<T> queue) {
-    int ahead = queue.aheadOf(entrant.flow()) + (entrant.write() ? 0 : writes.size());
-    int busy = Math.max(0, inFlight() - limit.current() + 1);
-    return (long) ((ahead + busy) * serviceNanos / limit.current());
+  /** Returns the expected queueing time of a new statement, based on the mean service time. */
+  private long expectedWaitNanos(Entrant<T> entrant, FairQueue<T> queue) {
+    int ahead = queue.maxServedBefore(entrant.flow()) + (entrant.write() ? 0 : writes.size());
+    int excess = Math.max(0, inFlight() - limit.current() + 1);
+    return (long) ((ahead + excess) * meanServiceNanos / limit.current());
   }
 
-  /** A full queue is shared: the longest line gives way to a caller with a shorter one. */
-  private boolean makeRoom(Entrant<T> entrant, FairQueue<T> queue, GateChange<T> change) {
+  /**
+   * Refuses the newest statement of the longest flow if the flow of the new statement is shorter.
+   * Returns whether a statement was refused.
+   */
+  private boolean displaceQueued(Entrant<T> entrant, FairQueue<T> queue, GateChange<T> change) {
     Optional<Entrant<T>> displaced = queue.displaceFor(entrant.flow());
-    displaced.ifPresent(e -> change.refuse(e, RefusalReason.DISPLACED, retryMillis()));
+    displaced.ifPresent(e -> change.refuse(e, RefusalReason.DISPLACED, retryAfterMillis()));
     return displaced.isPresent();
   }
 
-  private void startWaiting(long nowNanos, GateChange<T> change) {
+  private void startQueued(long nowNanos, GateChange<T> change) {
     while (inFlight() < limit.current()) {
-      Optional<Entrant<T>> next = next();
+      Optional<Entrant<T>> next = pollNext();
       if (next.isEmpty()) {
         return;
       }
       Entrant<T> entrant = next.get();
-      if (tooLate(entrant, nowNanos)) {
-        change.refuse(entrant, RefusalReason.DEADLINE_NEAR, retryMillis());
+      if (wouldMissDeadline(entrant, nowNanos)) {
+        change.refuse(entrant, RefusalReason.DEADLINE_NEAR, retryAfterMillis());
         continue;
       }
       if (entrant.write()) {
@@ -186,24 +192,24 @@
     }
   }
 
-  private Optional<Entrant<T>> next() {
+  private Optional<Entrant<T>> pollNext() {
     Optional<Entrant<T>> write = writes.poll();
     if (write.isPresent()) {
       return write;
     }
-    return readsInFlight < readSlots() ? reads.poll() : Optional.empty();
+    return readsInFlight < maxConcurrentReads() ? reads.poll() : Optional.empty();
   }
 
-  private int readSlots() {
+  private int maxConcurrentReads() {
     return primary ? Math.max(1, limit.current() - 1) : limit.current();
   }
 
-  private boolean tooLate(Entrant<T> entrant, long nowNanos) {
+  private boolean wouldMissDeadline(Entrant<T> entrant, long nowNanos) {
     return nowNanos + slowServiceNanos() > entrant.deadlineNanos();
   }
 
-  private long retryMillis() {
-    double drained = (queued() + 1) * serviceNanos / limit.current();
-    return Math.max(MIN_RETRY_MILLIS, TimeUnit.NANOSECONDS.toMillis((long) drained));
+  private long retryAfterMillis() {
+    double drainNanos = (queued() + 1) * meanServiceNanos / limit.current();
+    return Math.max(MIN_RETRY_AFTER_MILLIS, TimeUnit.NANOSECONDS.toMillis((long) drainNanos));
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/package-info.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/package-info.java
@@ -1,10 +1,11 @@
 /**
- * Limits that keep a proxy and its servers from collapsing under load.
+ * Limits that protect a proxy and its servers from overload.
  *
- * <p>{@link org.alderyard.proxy.limit.ServerGate} lets statements to a server: a bounded number at
- * once, a bounded fair queue in front, and an early refusal of what would miss its deadline. {@link
- * org.alderyard.proxy.limit.RetryBudget} bounds resends, and {@link
- * org.alderyard.proxy.limit.ConnectionPacer} the opening of connections. All of them take the time
- * as an argument and start no thread; {@link org.alderyard.proxy.limit.Gates} is the shell.
+ * <p>{@link org.alderyard.proxy.limit.ServerGate} bounds the number of concurrent statements per
+ * server, queues a bounded number of statements fairly and refuses statements that would miss their
+ * deadlines. {@link org.alderyard.proxy.limit.RetryBudget} limits resends, and {@link
+ * org.alderyard.proxy.limit.ConnectionPacer} limits the rate at which connections are opened. These
+ * classes take the time as an argument and start no threads; {@link
+ * org.alderyard.proxy.limit.Gates} supplies the clock, the lock and the executor.
  */
 package org.alderyard.proxy.limit;
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/pool/PacedConnector.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/pool/PacedConnector.java
@@ -59,7 +59,7 @@
   public CompletableFuture<ServerConnection> connect(InetSocketAddress address, Duration timeout) {
     ConnectionPacer pacer =
         pacers.computeIfAbsent(address, key -> new ConnectionPacer(perSecond, burst));
-    OptionalLong waitNanos = pacer.tryOpen(clock.nowNanos());
+    OptionalLong waitNanos = pacer.tryAcquire(clock.nowNanos());
     if (waitNanos.isEmpty()) {
       return connector.connect(address, timeout);
     }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/statement/StatementService.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/statement/StatementService.java
@@ -75,7 +75,7 @@
 
   private CompletableFuture<StatementAnswer> withinPoolLimit(
       StatementRequest request, View view, PoolState pool, GroupState group, SessionState session) {
-    if (!poolLimits.tryEnter(pool)) {
+    if (!poolLimits.tryAcquire(pool)) {
       throw AlderyardException.notRun(
           ErrorCode.OVERLOADED,
           "pool " + pool.name() + " runs " + pool.maxConcurrentStatements() + " statements already",
@@ -90,7 +90,7 @@
     } catch (RuntimeException failure) {
       result = CompletableFuture.failedFuture(failure);
     }
-    return result.whenComplete((answer, failure) -> poolLimits.leave(pool.name()));
+    return result.whenComplete((answer, failure) -> poolLimits.release(pool.name()));
   }
 
   private CompletableFuture<StatementAnswer> read(
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/limit/LimitTablesLincheckTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/limit/LimitTablesLincheckTest.java
@@ -8,7 +8,7 @@
 import org.jetbrains.lincheck.datastructures.Operation;
 import org.junit.jupiter.api.Test;
 
-/** The shared counters of limits, under every interleaving that the model checker reaches. */
+/** Checks the linearizability of {@link PoolLimits} and {@link RetryBudget} by model checking. */
 class LimitTablesLincheckTest {
 
   private static ModelCheckingOptions options() {
@@ -29,7 +29,7 @@
     options().check(Budget.class);
   }
 
-  /** A pool of two statements at once. */
+  /** A pool that is limited to two concurrent statements. */
   public static class PoolCounter {
     private static final PoolState POOL =
         new PoolState(new PoolName("p"), List.of(), WriteAcknowledgement.MAJORITY, 0, 2);
@@ -38,27 +38,27 @@
     /** Begins a statement. */
     @Operation
     public boolean enter() {
-      return limits.tryEnter(POOL);
+      return limits.tryAcquire(POOL);
     }
 
     /** Ends a statement. */
     @Operation
     public void leave() {
-      limits.leave(POOL.name());
+      limits.release(POOL.name());
     }
   }
 
-  /** A budget of one resend for two first tries. */
+  /** A budget of one resend for two first attempts. */
   public static class Budget {
     private final RetryBudget budget = new RetryBudget(0.5, 1);
 
-    /** Counts a first try. */
+    /** Records a first attempt. */
     @Operation
     public void firstTry() {
       budget.firstTry();
     }
 
-    /** Takes a resend. */
+    /** Removes a resend from the budget. */
     @Operation
     public boolean tryResend() {
       return budget.tryResend();
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/limit/ServerGateTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/limit/ServerGateTest.java
@@ -24,138 +24,146 @@
 import org.alderyard.proxy.pool.PacedConnector;
 import org.junit.jupiter.api.Test;
 
-/** What a gate starts, keeps waiting and refuses. */
+/**
+ * Tests which statements a {@link ServerGate} starts, queues and refuses, and tests the other
+ * limits of this package.
+ */
 class ServerGateTest {
   private static final Flow PACKER = new Flow(new PoolName("ledger"), "packer");
   private static final Flow CRAWLER = new Flow(new PoolName("ledger"), "crawler");
-  private static final long SERVICE = TimeUnit.MILLISECONDS.toNanos(10);
-  private static final long FAR = TimeUnit.SECONDS.toNanos(60);
+  private static final long SERVICE_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
+  private static final long FAR_DEADLINE = TimeUnit.SECONDS.toNanos(60);
 
-  private final ServerGate<Integer> gate = new ServerGate<>(new FixedLimit(2), 10);
-  private int number;
+  private final ServerGate<Integer> limiter = new ServerGate<>(new FixedLimit(2), 10);
+  private int lastId;
 
   private Entrant<Integer> read(Flow flow, long deadlineNanos) {
-    return new Entrant<>(flow, false, deadlineNanos, ++number);
+    return new Entrant<>(flow, false, deadlineNanos, ++lastId);
   }
 
   private Entrant<Integer> write(Flow flow) {
-    return new Entrant<>(flow, true, FAR, ++number);
+    return new Entrant<>(flow, true, FAR_DEADLINE, ++lastId);
   }
 
-  private void learnService() {
+  private void recordServiceTimes() {
     for (int i = 0; i < 50; i++) {
-      gate.enter(read(PACKER, FAR), 0);
-      gate.leave(false, SERVICE, true, 0);
+      limiter.enter(read(PACKER, FAR_DEADLINE), 0);
+      limiter.leave(false, SERVICE_NANOS, true, 0);
     }
   }
 
   /**
-   * A crawler sends a thousand reads, then a packer sends one. In one line the packer's read would
-   * stand behind all of them; the turn of callers gives it the next slot but one.
+   * A crawler sends a thousand reads before a packer sends one. In a single FIFO queue the read of
+   * the packer would wait behind all of them; round-robin order starts it within the next two
+   * statements.
    */
   @Test
   void floodOfOneCallerDoesNotStarveAnother() {
     for (int i = 0; i < 1000; i++) {
-      gate.enter(read(CRAWLER, FAR), 0);
+      limiter.enter(read(CRAWLER, FAR_DEADLINE), 0);
     }
-    assertThat(gate.queued()).isEqualTo(10);
-    Entrant<Integer> packers = read(PACKER, FAR);
-    GateChange<Integer> change = gate.enter(packers, 0);
+    assertThat(limiter.queued()).isEqualTo(10);
+    Entrant<Integer> packerRead = read(PACKER, FAR_DEADLINE);
+    GateChange<Integer> change = limiter.enter(packerRead, 0);
     assertThat(change.refused().get(0).reason()).isEqualTo(RefusalReason.DISPLACED);
     assertThat(change.refused().get(0).entrant().flow()).isEqualTo(CRAWLER);
     List<Entrant<Integer>> next = new ArrayList<>();
-    next.addAll(gate.leave(false, SERVICE, true, 0).started());
-    next.addAll(gate.leave(false, SERVICE, true, 0).started());
-    assertThat(next).contains(packers);
+    next.addAll(limiter.leave(false, SERVICE_NANOS, true, 0).started());
+    next.addAll(limiter.leave(false, SERVICE_NANOS, true, 0).started());
+    assertThat(next).contains(packerRead);
   }
 
   /**
-   * Ten times what a server can do arrives. The caller of a read that cannot make its deadline
-   * hears so at once, not when the deadline is over, and the server never sees it.
+   * Ten times the capacity of a server arrives. A read that cannot meet its deadline is refused on
+   * arrival rather than when the deadline passes, and is never sent to the server.
    */
   @Test
-  void hopelessReadIsRefusedWhenItComes() {
-    learnService();
+  void readThatWouldMissItsDeadlineIsRefusedOnArrival() {
+    recordServiceTimes();
     for (int i = 0; i < 8; i++) {
-      gate.enter(read(PACKER, FAR), 0);
+      limiter.enter(read(PACKER, FAR_DEADLINE), 0);
     }
-    GateChange<Integer> hopeless = gate.enter(read(PACKER, 2 * SERVICE), 0);
-    assertThat(hopeless.refused().get(0).reason()).isEqualTo(RefusalReason.WOULD_MISS_DEADLINE);
-    assertThat(hopeless.refused().get(0).retryAfterMillis()).isAtLeast(20L);
-    assertThat(gate.enter(read(CRAWLER, 4 * SERVICE), 0).refused()).isEmpty();
+    GateChange<Integer> refusedRead = limiter.enter(read(PACKER, 2 * SERVICE_NANOS), 0);
+    assertThat(refusedRead.refused().get(0).reason()).isEqualTo(RefusalReason.WOULD_MISS_DEADLINE);
+    assertThat(refusedRead.refused().get(0).retryAfterMillis()).isAtLeast(20L);
+    assertThat(limiter.enter(read(CRAWLER, 4 * SERVICE_NANOS), 0).refused()).isEmpty();
   }
 
-  /** A statement that waits is refused while its caller still listens, and is never sent. */
+  /**
+   * A queued statement that can no longer meet its deadline is refused before the deadline passes,
+   * and is never sent.
+   */
   @Test
-  void waitingReadIsRefusedBeforeItsDeadline() {
-    learnService();
+  void queuedReadIsRefusedBeforeItsDeadline() {
+    recordServiceTimes();
     for (int i = 0; i < 3; i++) {
-      gate.enter(read(PACKER, 3 * SERVICE), 0);
+      limiter.enter(read(PACKER, 3 * SERVICE_NANOS), 0);
     }
-    assertThat(gate.sweep(SERVICE).refused()).isEmpty();
-    assertThat(gate.sweep(2 * SERVICE + 1).refused()).hasSize(1);
-    assertThat(gate.leave(false, SERVICE, true, 2 * SERVICE + 2).started()).isEmpty();
+    assertThat(limiter.sweep(SERVICE_NANOS).refused()).isEmpty();
+    assertThat(limiter.sweep(2 * SERVICE_NANOS + 1).refused()).hasSize(1);
+    assertThat(limiter.leave(false, SERVICE_NANOS, true, 2 * SERVICE_NANOS + 2).started())
+        .isEmpty();
   }
 
   /**
-   * Every replica is far behind and reads pour onto the primary. One of its slots stays free for
-   * writes, and a write that waits goes before all reads that wait.
+   * Reads move to the primary when all replicas are far behind. One slot of the primary stays free
+   * for writes, and a queued write is started before all queued reads.
    */
   @Test
-  void readsLeaveRoomForWritesAtPrimary() {
-    gate.primary(true);
-    int room = gate.readRoom();
+  void readsLeaveCapacityForWritesAtPrimary() {
+    limiter.primary(true);
+    int initialRoom = limiter.readRoom();
     for (int i = 0; i < 4; i++) {
-      gate.enter(read(CRAWLER, FAR), 0);
+      limiter.enter(read(CRAWLER, FAR_DEADLINE), 0);
     }
-    assertThat(gate.inFlight()).isEqualTo(1);
-    assertThat(gate.readRoom()).isEqualTo(room - 4);
-    assertThat(gate.enter(write(PACKER), 0).started()).hasSize(1);
-    gate.enter(write(PACKER), 0);
-    assertThat(gate.leave(false, SERVICE, true, 0).started().get(0).write()).isTrue();
+    assertThat(limiter.inFlight()).isEqualTo(1);
+    assertThat(limiter.readRoom()).isEqualTo(initialRoom - 4);
+    assertThat(limiter.enter(write(PACKER), 0).started()).hasSize(1);
+    limiter.enter(write(PACKER), 0);
+    assertThat(limiter.leave(false, SERVICE_NANOS, true, 0).started().get(0).write()).isTrue();
   }
 
   @Property(seed = "20261202", tries = 200)
   void everyStatementStartsOrIsRefusedOnceWithinTheLimit(
       @ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
-    ServerGate<Integer> tested = new ServerGate<>(new AimdLimit(3), 8);
+    ServerGate<Integer> testedLimiter = new ServerGate<>(new AimdLimit(3), 8);
     SplittableRandom random = new SplittableRandom(seed);
-    Map<Integer, Integer> ends = new HashMap<>();
+    Map<Integer, Integer> endCounts = new HashMap<>();
     List<Entrant<Integer>> running = new ArrayList<>();
     int entered = 0;
     long now = 0;
     for (int step = 0; step < 400; step++) {
-      now += random.nextLong(SERVICE);
+      now += random.nextLong(SERVICE_NANOS);
       GateChange<Integer> change;
       if (random.nextInt(10) < 6) {
         Flow flow = new Flow(new PoolName("p" + random.nextInt(2)), "c" + random.nextInt(3));
-        long deadline = now + random.nextLong(20 * SERVICE);
+        long deadline = now + random.nextLong(20 * SERVICE_NANOS);
         boolean write = random.nextBoolean();
-        change = tested.enter(new Entrant<>(flow, write, deadline, ++entered), now);
+        change = testedLimiter.enter(new Entrant<>(flow, write, deadline, ++entered), now);
       } else if (!running.isEmpty()) {
         Entrant<Integer> ended = running.remove(random.nextInt(running.size()));
         change =
-            tested.leave(
-                ended.write(), 1 + random.nextLong(3 * SERVICE), random.nextBoolean(), now);
+            testedLimiter.leave(
+                ended.write(), 1 + random.nextLong(3 * SERVICE_NANOS), random.nextBoolean(), now);
       } else {
-        change = tested.sweep(now);
+        change = testedLimiter.sweep(now);
       }
       running.addAll(change.started());
-      change.started().forEach(e -> ends.merge(e.work(), 1, Integer::sum));
-      change.refused().forEach(r -> ends.merge(r.entrant().work(), 1, Integer::sum));
-      assertThat(tested.inFlight()).isEqualTo(running.size());
+      change.started().forEach(e -> endCounts.merge(e.work(), 1, Integer::sum));
+      change.refused().forEach(r -> endCounts.merge(r.entrant().work(), 1, Integer::sum));
+      assertThat(testedLimiter.inFlight()).isEqualTo(running.size());
       assertThat(running.size()).isAtMost(3);
-      assertThat(tested.queued()).isAtMost(8);
-      assertThat(ends.size() + tested.queued()).isEqualTo(entered);
+      assertThat(testedLimiter.queued()).isAtMost(8);
+      assertThat(endCounts.size() + testedLimiter.queued()).isEqualTo(entered);
     }
-    assertThat(ends.values().stream().allMatch(count -> count == 1)).isTrue();
+    assertThat(endCounts.values().stream().allMatch(count -> count == 1)).isTrue();
   }
 
   @Test
-  void permitIsGivenBackOnceAndRefusalIsTyped() {
+  void permitEndsOnceAndRefusalIsTyped() {
     PausedClock clock = new PausedClock();
     List<RefusalReason> refusals = new ArrayList<>();
-    Gates gates =
+    Gates limiters =
         new Gates(
             clock,
             (server, slots) -> new FixedLimit(slots),
@@ -163,10 +171,11 @@
             Runnable::run,
             (s, f, reason) -> refusals.add(reason));
     ServerId server = new ServerId("s1");
-    final Gates.Permit first = gates.enter(server, 1, false, PACKER, false, FAR).join();
+    final Gates.Permit first = limiters.enter(server, 1, false, PACKER, false, FAR_DEADLINE).join();
     final CompletableFuture<Gates.Permit> second =
-        gates.enter(server, 1, false, PACKER, false, FAR);
-    CompletableFuture<Gates.Permit> third = gates.enter(server, 1, false, PACKER, false, FAR);
+        limiters.enter(server, 1, false, PACKER, false, FAR_DEADLINE);
+    CompletableFuture<Gates.Permit> third =
+        limiters.enter(server, 1, false, PACKER, false, FAR_DEADLINE);
     Throwable failure = assertThrows(CompletionException.class, third::join);
     assertThat(Futures.typed(failure).outcome()).isEqualTo(Outcome.NOT_RUN);
     assertThat(refusals).containsExactly(RefusalReason.QUEUE_FULL);
@@ -174,35 +183,36 @@
     first.end(true);
     first.end(true);
     assertThat(second.isDone()).isTrue();
-    assertThat(gates.inFlight()).isEqualTo(1);
-    CompletableFuture<Gates.Permit> gone = gates.enter(server, 1, false, PACKER, false, FAR);
-    gates.cancel(server, gone);
+    assertThat(limiters.inFlight()).isEqualTo(1);
+    CompletableFuture<Gates.Permit> cancelled =
+        limiters.enter(server, 1, false, PACKER, false, FAR_DEADLINE);
+    limiters.cancel(server, cancelled);
     second.join().end(true);
-    assertThat(gates.inFlight() + gates.queued()).isEqualTo(0);
+    assertThat(limiters.inFlight() + limiters.queued()).isEqualTo(0);
   }
 
   @Test
-  void leasedSlotsFollowTheLeaseWithinTheSlots() {
-    int[] leased = {0};
-    LeasedSlots limit = new LeasedSlots(5, () -> leased[0], () -> 35);
+  void leasedSlotsFollowTheLeaseUpToTheSlots() {
+    int[] leasedConnections = {0};
+    LeasedSlots limit = new LeasedSlots(5, () -> leasedConnections[0], () -> 35);
     int sum = 0;
     for (int connections : new int[] {2, 2, 2, 2, 2, 2, 3, 3, 3, 3, 3, 4}) {
-      leased[0] = connections;
+      leasedConnections[0] = connections;
       sum += limit.current();
     }
     assertThat(sum).isEqualTo(12);
-    leased[0] = 14;
+    leasedConnections[0] = 14;
     assertThat(limit.current()).isEqualTo(4);
-    leased[0] = 31;
+    leasedConnections[0] = 31;
     assertThat(limit.current()).isEqualTo(5);
   }
 
   /**
-   * A server comes back after an outage and a thousand statements fail on its cold start. Resent
-   * without a budget they would double its load; the budget lets a tenth of the traffic through.
+   * A server restarts after an outage and a thousand statements fail during its cold start.
+   * Unlimited resends would double its load; the budget limits them to a tenth of the traffic.
    */
   @Test
-  void resendsStayShareOfTheTraffic() {
+  void resendsStayWithinShareOfTraffic() {
     RetryBudget budget = new RetryBudget(RetryBudget.DEFAULT_SHARE, RetryBudget.DEFAULT_SAVED);
     int resends = 0;
     for (int i = 0; i < 1000; i++) {
@@ -214,24 +224,24 @@
   }
 
   @Test
-  void connectionsOpenAtBoundedPace() {
+  void connectionsOpenAtBoundedRate() {
     ConnectionPacer pacer = new ConnectionPacer(() -> 50, 3);
     int opened = 0;
     for (long now = 0; now <= TimeUnit.SECONDS.toNanos(1); now += 1_000_000) {
-      while (pacer.tryOpen(now).isEmpty()) {
+      while (pacer.tryAcquire(now).isEmpty()) {
         opened++;
       }
     }
     assertThat(opened).isAtLeast(50);
     assertThat(opened).isAtMost(54);
-    OptionalLong wait = pacer.tryOpen(TimeUnit.SECONDS.toNanos(1));
-    assertThat(wait.getAsLong()).isAtMost(TimeUnit.MILLISECONDS.toNanos(20));
+    OptionalLong waitNanos = pacer.tryAcquire(TimeUnit.SECONDS.toNanos(1));
+    assertThat(waitNanos.getAsLong()).isAtMost(TimeUnit.MILLISECONDS.toNanos(20));
   }
 
   @Test
-  void proxiesShareThePaceOfOpenings() {
-    // A proxy that was alone opened five connections a second, as one of a dozen may, and refused
-    // most of its first seconds' statements with a lease of thirty connections in its hands.
+  void proxiesShareTheConnectionRate() {
+    // With a fixed rate of five connections per second, meant for one of a dozen proxies, a single
+    // proxy refused most statements of its first seconds despite a lease of thirty connections.
     assertThat(PacedConnector.share(1)).isEqualTo(60);
     assertThat(PacedConnector.share(12)).isEqualTo(5);
     assertThat(PacedConnector.share(500)).isEqualTo(1);
