--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/lease/LeaseClient.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/lease/LeaseClient.java
@@ -77,7 +77,7 @@
     View view = views.current();
     leases.retain(view.servers().keySet());
     wish.retain(view.servers().keySet());
-    pools.keepToAllowances(view.servers().values());
+    pools.enforceAllowances(view.servers().values());
     // A second request would make the reply to the first one void.
     if (view.servers().isEmpty() || !underWay.compareAndSet(false, true)) {
       return;
@@ -110,7 +110,7 @@
 
   /** Returns what is asked for; nothing of a server that this host has no business with. */
   private Optional<ConnectionDemand> demand(ServerState server, long number) {
-    PoolUse use = pools.readUse(server.id());
+    PoolUse use = pools.takeUse(server.id());
     int wanted = wish.wanted(server.id(), use);
     if (wanted == 0 && use.open() == 0 && leases.unleased(server.id())) {
       return Optional.empty();
@@ -129,6 +129,6 @@
       ServerId server = new ServerId(grant.getServer());
       leases.reply(server, reply.getSequence(), grant.getConnections(), leaseNanos);
     }
-    pools.keepToAllowances(views.current().servers().values());
+    pools.enforceAllowances(views.current().servers().values());
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/pool/ConnectionPools.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/pool/ConnectionPools.java
@@ -21,10 +21,11 @@
 import org.alderyard.common.view.ServerState;
 
 /**
- * The connections to all servers, never more to one server than its allowance.
+ * The connections to all servers, limited per server by an allowance.
  *
- * <p>Lock: the object itself; the allowance is read while it is held, and its lock is a leaf.
- * Connections are opened and closed, and futures completed, after it is released.
+ * <p>Thread-safe. The lock is this object. The allowance is read while the lock is held and must
+ * not acquire further locks. Connections are opened and closed, and futures completed, after the
+ * lock is released.
  */
 public class ConnectionPools<C extends PooledConnection> implements AutoCloseable {
   private static final long RETRY_AFTER_MILLIS = 100;
@@ -37,17 +38,17 @@
   private final Map<ServerId, ServerPool<C>> pools = new HashMap<>();
   private final List<C> retired = new ArrayList<>();
 
-  /** Creates pools without a limit. */
+  /** Creates pools without a connection limit. */
   public ConnectionPools(ConnectionSource<C> source) {
     this(source, ConnectionAllowance.UNLIMITED);
   }
 
-  /** Creates pools that keep to an allowance. */
+  /** Creates pools that are limited by an allowance. */
   public ConnectionPools(ConnectionSource<C> source, ConnectionAllowance allowance) {
     this(source, allowance, MonotonicClock.system());
   }
 
-  /** Creates pools that keep to an allowance, by the given clock. */
+  /** Creates pools that are limited by an allowance and use the given clock. */
   public ConnectionPools(
       ConnectionSource<C> source, ConnectionAllowance allowance, MonotonicClock clock) {
     this.source = Objects.requireNonNull(source);
@@ -56,22 +57,23 @@
   }
 
   /**
-   * Returns a connection that nobody else uses until it is given back.
+   * Takes a connection for exclusive use until it is released, with the highest priority.
    *
-   * @return fails with {@code NOT_RUN} when none is to be had within the timeout
+   * @return fails with {@code NOT_RUN} if no connection is available within the timeout
    */
   public CompletableFuture<C> take(ServerState server, Duration timeout) {
     return take(server, 0, timeout);
   }
 
   /**
-   * Returns a connection that nobody else uses until it is given back.
+   * Takes a connection for exclusive use until it is released.
    *
-   * @param priority who waits is served in this order, 0 first, and then in the order of arrival
-   * @return fails with {@code NOT_RUN} when none is to be had within the timeout
+   * @param priority queued requests are served in ascending order of priority, 0 first, and in
+   *     order of arrival within a priority
+   * @return fails with {@code NOT_RUN} if no connection is available within the timeout
    */
   public CompletableFuture<C> take(ServerState server, int priority, Duration timeout) {
-    CompletableFuture<C> waiter = new CompletableFuture<>();
+    CompletableFuture<C> request = new CompletableFuture<>();
     ServerPool<C> pool;
     synchronized (this) {
       pool = pool(server);
@@ -80,15 +82,15 @@
         return CompletableFuture.completedFuture(idle.get());
       }
       if (allowance.allowed(server.id()) == 0) {
-        return CompletableFuture.failedFuture(noLease(server));
+        return CompletableFuture.failedFuture(noLeaseError(server));
       }
-      if (pool.isShut(clock.nowNanos())) {
-        return CompletableFuture.failedFuture(serverFull(server));
+      if (pool.isUnavailable(clock.nowNanos())) {
+        return CompletableFuture.failedFuture(connectionLimitError(server));
       }
       if (!mayOpen(server, pool)) {
-        pool.await(waiter, priority);
-        lookAgain(server, pool.heldUpNanos());
-        return limited(server, waiter, timeout);
+        pool.enqueue(request, priority);
+        scheduleRetry(server, pool.blockedAfterNanos());
+        return withTimeout(server, request, timeout);
       }
       pool.beginOpening();
     }
@@ -98,9 +100,9 @@
   /**
    * Returns whether another connection may be opened.
    *
-   * <p>Guards against statements that wait behind one whose answer was lost: a host with a single
-   * connection to a server ran nothing there for the rest of that statement's time, though the
-   * server was idle. A connection that is held up does not count, for a few of them.
+   * <p>Blocked connections do not count against the allowance, up to its spare number. Otherwise
+   * one lost answer would block a host that has a single connection to a server until the statement
+   * times out, although the server is idle.
    */
   private boolean mayOpen(ServerState server, ServerPool<C> pool) {
     if (!pool.mayOpen(clock.nowNanos())) {
@@ -110,47 +112,50 @@
     if (pool.open() < allowed) {
       return true;
     }
-    return pool.open() < allowed + Math.min(allowance.spare(server.id()), pool.heldUp());
+    return pool.open() < allowed + Math.min(allowance.spare(server.id()), pool.blocked());
   }
 
-  /** Sees whether one that waits may have a connection once those in use are held up. */
-  private void lookAgain(ServerState server, long laterNanos) {
+  /**
+   * Schedules another attempt to serve a queued request, for the time when connections in use may
+   * count as blocked.
+   */
+  private void scheduleRetry(ServerState server, long delayNanos) {
     if (allowance.spare(server.id()) > 0) {
       new CompletableFuture<Void>()
-          .completeOnTimeout(null, laterNanos, TimeUnit.NANOSECONDS)
-          .thenRun(() -> serveWaiter(server));
+          .completeOnTimeout(null, delayNanos, TimeUnit.NANOSECONDS)
+          .thenRun(() -> serveNextRequest(server));
     }
   }
 
-  private static AlderyardException noLease(ServerState server) {
+  private static AlderyardException noLeaseError(ServerState server) {
     return AlderyardException.notRun(
         ErrorCode.NO_ELIGIBLE_SERVER,
-        "this proxy has no lease of connections to server " + server.id(),
+        "this proxy holds no connection lease for server " + server.id(),
         RETRY_AFTER_MILLIS);
   }
 
-  private static AlderyardException serverFull(ServerState server) {
+  private static AlderyardException connectionLimitError(ServerState server) {
     return AlderyardException.notRun(
         ErrorCode.NO_ELIGIBLE_SERVER,
-        "server " + server.id() + " took no further connection a moment ago",
+        "server " + server.id() + " recently refused a connection at its connection limit",
         RETRY_AFTER_MILLIS);
   }
 
-  private CompletableFuture<C> limited(
-      ServerState server, CompletableFuture<C> waiter, Duration timeout) {
-    return waiter
+  private CompletableFuture<C> withTimeout(
+      ServerState server, CompletableFuture<C> request, Duration timeout) {
+    return request
         .orTimeout(timeout.toNanos(), TimeUnit.NANOSECONDS)
         .exceptionallyCompose(
             failure -> {
               synchronized (this) {
-                pool(server).stopWaiting(waiter);
+                pool(server).removeRequest(request);
               }
-              boolean late = Futures.unwrap(failure) instanceof TimeoutException;
-              return CompletableFuture.failedFuture(late ? allInUse(server) : failure);
+              boolean timedOut = Futures.unwrap(failure) instanceof TimeoutException;
+              return CompletableFuture.failedFuture(timedOut ? allInUseError(server) : failure);
             });
   }
 
-  private static AlderyardException allInUse(ServerState server) {
+  private static AlderyardException allInUseError(ServerState server) {
     return AlderyardException.notRun(
         ErrorCode.OVERLOADED,
         "all leased connections to server " + server.id() + " are in use",
@@ -172,12 +177,12 @@
             } else {
               pool.openingFailed();
               if (isConnectionLimit(failure)) {
-                pool.openingRefused(clock.nowNanos());
+                pool.backOff(clock.nowNanos());
               }
             }
           }
           if (failure != null) {
-            serveWaiter(server);
+            serveNextRequest(server);
           }
         });
   }
@@ -187,72 +192,76 @@
         && refused.refusal() == RefusalCode.CONNECTION_LIMIT;
   }
 
-  /** Gives a connection back; one that is in doubt or beyond the allowance is closed. */
+  /**
+   * Returns a connection to its pool. A connection that is unusable or exceeds the allowance is
+   * closed.
+   */
   public void release(ServerState server, C connection) {
     boolean keep;
-    Optional<CompletableFuture<C>> waiter = Optional.empty();
+    Optional<CompletableFuture<C>> request = Optional.empty();
     synchronized (this) {
       ServerPool<C> pool = pool(server);
-      boolean ours = pool.giveBack(connection);
-      keep = ours && connection.usable() && pool.open() < allowance.allowed(server.id());
+      boolean wasInUse = pool.release(connection);
+      keep = wasInUse && connection.usable() && pool.open() < allowance.allowed(server.id());
       if (keep) {
-        pool.keep(connection);
-        waiter = pool.nextWaiter();
-        if (waiter.isPresent()) {
+        pool.addIdle(connection);
+        request = pool.pollRequest();
+        if (request.isPresent()) {
           pool.takeIdle();
         }
       }
     }
     if (!keep) {
       connection.close();
-      serveWaiter(server);
+      serveNextRequest(server);
       return;
     }
-    if (waiter.isPresent() && !waiter.get().complete(connection)) {
+    if (request.isPresent() && !request.get().complete(connection)) {
       release(server, connection);
     }
   }
 
   /**
-   * Opens a connection for one that waits, if there is room again.
+   * Opens a connection for the next queued request, if the allowance and the backoff permit it.
    *
-   * <p>Guards against a storm on a server that is full: after a loss of power all hosts came back
-   * while servers still counted the dead connections, each statement that waited asked for one of
-   * its own, and servers refused 1,600 of them within a second. Those that wait get connections
-   * that are given back; without any they turn to another server at once.
+   * <p>While a server without connections from this proxy is in backoff, all queued requests fail
+   * immediately, so that their statements can use another server; otherwise they receive released
+   * connections. After a power loss, hosts restarted while servers still counted the dead
+   * connections; when each queued statement opened its own connection, servers refused 1,600
+   * connections within a second.
    */
-  private void serveWaiter(ServerState server) {
-    Optional<CompletableFuture<C>> waiter;
+  private void serveNextRequest(ServerState server) {
+    Optional<CompletableFuture<C>> request;
     ServerPool<C> pool;
-    List<CompletableFuture<C>> hopeless = List.of();
+    List<CompletableFuture<C>> unserved = List.of();
     synchronized (this) {
       pool = pool(server);
-      if (pool.isShut(clock.nowNanos())) {
-        hopeless = pool.takeWaiters();
+      if (pool.isUnavailable(clock.nowNanos())) {
+        unserved = pool.takeRequests();
       }
-      waiter = mayOpen(server, pool) ? pool.nextWaiter() : Optional.empty();
-      if (waiter.isPresent()) {
+      request = mayOpen(server, pool) ? pool.pollRequest() : Optional.empty();
+      if (request.isPresent()) {
         pool.beginOpening();
       }
     }
-    hopeless.forEach(waiting -> waiting.completeExceptionally(serverFull(server)));
-    waiter.ifPresent(waiting -> openFor(server, pool, waiting));
+    unserved.forEach(pending -> pending.completeExceptionally(connectionLimitError(server)));
+    request.ifPresent(pending -> openFor(server, pool, pending));
   }
 
-  private void openFor(ServerState server, ServerPool<C> pool, CompletableFuture<C> waiting) {
+  private void openFor(ServerState server, ServerPool<C> pool, CompletableFuture<C> pending) {
     open(server, pool, CONNECT_TIMEOUT)
         .whenComplete(
             (connection, failure) -> {
               if (failure != null) {
-                waiting.completeExceptionally(failure);
-              } else if (!waiting.complete(connection)) {
+                pending.completeExceptionally(failure);
+              } else if (!pending.complete(connection)) {
                 release(server, connection);
               }
             });
   }
 
-  /** Closes what the allowances do not cover any more, and opens for those that wait. */
-  public void keepToAllowances(Iterable<ServerState> servers) {
+  /** Closes connections that exceed the allowances, and opens connections for queued requests. */
+  public void enforceAllowances(Iterable<ServerState> servers) {
     for (ServerState server : servers) {
       List<C> excess;
       synchronized (this) {
@@ -261,19 +270,19 @@
         retired.clear();
       }
       excess.forEach(PooledConnection::close);
-      serveWaiter(server);
+      serveNextRequest(server);
     }
   }
 
-  /** Returns how a server's connections were used since the last call. */
-  public synchronized PoolUse readUse(ServerId server) {
+  /** Returns the use of a server's connections since the last call. */
+  public synchronized PoolUse takeUse(ServerId server) {
     ServerPool<C> pool = pools.get(server);
-    return pool == null ? PoolUse.NONE : pool.readUse();
+    return pool == null ? PoolUse.NONE : pool.takeUse();
   }
 
   /**
-   * Returns how many connections to a server were in use or waited for, on average since the last
-   * call.
+   * Returns the time-weighted mean number of connections to a server in use, being opened or
+   * requested, since the last call.
    */
   public synchronized double takeMeanDemand(ServerId server) {
     ServerPool<C> pool = pools.get(server);
@@ -285,12 +294,12 @@
     if (pool != null && pool.incarnation() >= server.incarnation()) {
       return pool;
     }
-    ServerPool<C> fresh = new ServerPool<>(server.incarnation(), clock);
+    ServerPool<C> successor = new ServerPool<>(server.incarnation(), clock);
     if (pool != null) {
-      retired.addAll(pool.retireTo(fresh));
+      retired.addAll(pool.transferRequestsTo(successor));
     }
-    pools.put(server.id(), fresh);
-    return fresh;
+    pools.put(server.id(), successor);
+    return successor;
   }
 
   @Override
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/pool/ConnectionSource.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/pool/ConnectionSource.java
@@ -8,11 +8,11 @@
 /**
  * Opens the connections of a pool.
  *
- * @param <C> the kind of connection
+ * @param <C> the type of connection
  */
 @FunctionalInterface
 public interface ConnectionSource<C extends PooledConnection> {
 
-  /** Opens a connection; the failure of the future says {@code NOT_RUN}. */
+  /** Opens a connection. A failure of the future has the outcome {@code NOT_RUN}. */
   CompletableFuture<C> connect(ServerState server, Duration timeout);
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/pool/PacedConnector.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/pool/PacedConnector.java
@@ -16,12 +16,15 @@
 import org.alderyard.common.time.MonotonicClock;
 import org.alderyard.proxy.limit.ConnectionPacer;
 
-/** Opens connections to each server at a bounded pace. */
+/** Limits the rate at which connections to each server are opened. */
 public final class PacedConnector implements ServerConnector {
-  /** Of all proxies together: an eighth of a server of 5 slots that opens one in 10 ms. */
-  public static final int DEFAULT_PER_SECOND_OF_ALL = 60;
+  /**
+   * The default rate of all proxies together. Opening connections at this rate uses an eighth of a
+   * server with 5 slots that needs 10 ms per connection.
+   */
+  public static final int DEFAULT_TOTAL_PER_SECOND = 60;
 
-  /** What a proxy may open at once after a quiet time. */
+  /** The number of connections that a proxy may open without delay after an idle period. */
   public static final int DEFAULT_BURST = 4;
 
   private final ServerConnector connector;
@@ -32,16 +35,15 @@
   private final Map<InetSocketAddress, ConnectionPacer> pacers = new ConcurrentHashMap<>();
 
   /**
-   * Returns one proxy's part of the pace of all.
-   *
-   * <p>Guards against a start of minutes: a fixed pace for each, made for a dozen, kept a proxy
-   * that is alone from using the connections that it has a lease of.
+   * Returns the rate of one proxy, in connections per second: an equal share of the total rate, at
+   * least 1. With a fixed rate per proxy, meant for a dozen, a single proxy would need minutes to
+   * open the connections of its lease.
    */
   public static int share(long proxies) {
-    return (int) Math.max(1, DEFAULT_PER_SECOND_OF_ALL / Math.max(1, proxies));
+    return (int) Math.max(1, DEFAULT_TOTAL_PER_SECOND / Math.max(1, proxies));
   }
 
-  /** Creates a connector in front of the given one. */
+  /** Creates a connector that delegates to the given connector. */
   public PacedConnector(
       ServerConnector connector,
       MonotonicClock clock,
@@ -59,24 +61,24 @@
   public CompletableFuture<ServerConnection> connect(InetSocketAddress address, Duration timeout) {
     ConnectionPacer pacer =
         pacers.computeIfAbsent(address, key -> new ConnectionPacer(perSecond, burst));
-    OptionalLong waitNanos = pacer.tryAcquire(clock.nowNanos());
-    if (waitNanos.isEmpty()) {
+    OptionalLong delayNanos = pacer.tryAcquire(clock.nowNanos());
+    if (delayNanos.isEmpty()) {
       return connector.connect(address, timeout);
     }
-    Duration wait = Duration.ofNanos(waitNanos.getAsLong());
-    if (wait.compareTo(timeout) >= 0) {
+    Duration delay = Duration.ofNanos(delayNanos.getAsLong());
+    if (delay.compareTo(timeout) >= 0) {
       return CompletableFuture.failedFuture(
           AlderyardException.notRun(
               ErrorCode.OVERLOADED,
-              "connections to " + address + " are opened at a bounded pace",
-              wait.toMillis() + 1));
+              "the rate limit for opening connections to " + address + " is reached",
+              delay.toMillis() + 1));
     }
     CompletableFuture<ServerConnection> result = new CompletableFuture<>();
-    workers.schedule(wait, () -> connectLater(address, timeout.minus(wait), result));
+    workers.schedule(delay, () -> connectAfterDelay(address, timeout.minus(delay), result));
     return result;
   }
 
-  private void connectLater(
+  private void connectAfterDelay(
       InetSocketAddress address, Duration timeout, CompletableFuture<ServerConnection> result) {
     connect(address, timeout)
         .whenComplete(
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/pool/PoolUse.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/pool/PoolUse.java
@@ -1,13 +1,13 @@
 package org.alderyard.proxy.pool;
 
 /**
- * How one server's connections were used of late.
+ * The recent use of one server's connections.
  *
- * @param open the connections that are open or being opened
- * @param peakInUse the most that were in use at once since the last reading
- * @param waiting the requests that wait for one now
+ * @param open the number of connections that are open or being opened
+ * @param peakInUse the maximum number of connections in use or being opened since the last call
+ * @param waiting the number of queued requests for a connection
  */
 public record PoolUse(int open, int peakInUse, int waiting) {
-  /** A server without any connection. */
+  /** The use of a server without connections. */
   public static final PoolUse NONE = new PoolUse(0, 0, 0);
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/pool/ServerPool.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/pool/ServerPool.java
@@ -12,45 +12,48 @@
 import org.alderyard.backend.PooledConnection;
 import org.alderyard.common.time.MonotonicClock;
 
-/** The connections to one start of one server. Not safe for several threads. */
+/** The connections to one incarnation of a server. Not thread-safe. */
 final class ServerPool<C extends PooledConnection> {
   /**
-   * The first pause after a server refused a connection as one too many. Servers notice within
-   * seconds that connections are dead, and this adds little to that.
+   * The initial backoff after a server refuses a connection at its connection limit. Servers detect
+   * dead connections within seconds, and the backoff adds little to that.
    */
-  private static final long FIRST_REFUSED_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+  private static final long INITIAL_REFUSAL_BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
-  private static final long MAX_REFUSED_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
+  private static final long MAX_REFUSAL_BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
   /**
-   * A connection that is used for so many usual times is held up: by a transaction that rests, or
-   * by an answer that does not come.
+   * A connection is blocked when it has been in use for this multiple of the mean use time, because
+   * of an idle transaction or a missing answer.
    */
-  private static final double HELD_UP_USES = 4;
+  private static final double BLOCKED_USE_FACTOR = 4;
 
-  /** And not before this, so that common statements, which differ in their work, are not. */
-  private static final long MIN_HELD_UP_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+  /**
+   * The minimum time in use of a blocked connection, so that ordinary statements, whose run times
+   * differ, are not counted as blocked.
+   */
+  private static final long MIN_BLOCKED_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
-  /** The weight of a new use in the average: about the last ten count. */
-  private static final double USE_WEIGHT = 0.1;
+  /** The weight of a new sample in the mean use time, which covers about the last ten uses. */
+  private static final double MEAN_USE_WEIGHT = 0.1;
 
   private final long incarnation;
   private final Deque<C> idle = new ArrayDeque<>();
-  // By the time since when each is in use.
+  // The connections in use, with the time at which each use started.
   private final Map<C, Long> inUse = new HashMap<>();
-  private final List<Waiter<C>> waiting = new ArrayList<>();
+  private final List<QueuedRequest<C>> requests = new ArrayList<>();
   private int opening;
   private int peakInUse;
   private double meanUseNanos;
-  private long refusedPauseNanos;
-  private long closedUntilNanos;
+  private long refusalBackoffNanos;
+  private long backoffEndNanos;
   private final MonotonicClock clock;
-  private final BusyMeter busy;
+  private final TimeWeightedMean meanDemand;
 
   ServerPool(long incarnation, MonotonicClock clock) {
     this.incarnation = incarnation;
     this.clock = clock;
-    this.busy = new BusyMeter(clock);
+    this.meanDemand = new TimeWeightedMean(clock);
   }
 
   long incarnation() {
@@ -61,24 +64,27 @@
     return idle.size() + inUse.size() + opening;
   }
 
-  /** Returns after which time a connection counts as held up, by how long they are used usually. */
-  long heldUpNanos() {
-    return Math.max(MIN_HELD_UP_NANOS, (long) (HELD_UP_USES * meanUseNanos));
+  /** Returns the time in use, in nanoseconds, after which a connection counts as blocked. */
+  long blockedAfterNanos() {
+    return Math.max(MIN_BLOCKED_NANOS, (long) (BLOCKED_USE_FACTOR * meanUseNanos));
   }
 
-  /** Returns how many connections have been in use for far longer than usual. */
-  int heldUp() {
+  /**
+   * Returns the number of connections that have been in use for at least {@link
+   * #blockedAfterNanos}.
+   */
+  int blocked() {
     long now = clock.nowNanos();
-    long limit = heldUpNanos();
+    long limit = blockedAfterNanos();
     return (int) inUse.values().stream().filter(since -> now - since >= limit).count();
   }
 
-  /** Takes the connection that was used last, so that those beyond the need stay idle. */
+  /** Takes the most recently used idle connection, so that surplus connections stay idle. */
   Optional<C> takeIdle() {
     while (!idle.isEmpty()) {
       C connection = idle.removeLast();
       if (connection.usable()) {
-        use(connection);
+        markInUse(connection);
         return Optional.of(connection);
       }
       connection.close();
@@ -86,107 +92,113 @@
     return Optional.empty();
   }
 
-  private void use(C connection) {
+  private void markInUse(C connection) {
     inUse.put(connection, clock.nowNanos());
-    busy.changed(demand());
+    meanDemand.update(demand());
     peakInUse = Math.max(peakInUse, inUse.size() + opening);
   }
 
   void beginOpening() {
     opening++;
-    busy.changed(demand());
+    meanDemand.update(demand());
     peakInUse = Math.max(peakInUse, inUse.size() + opening);
   }
 
   void openingFailed() {
     opening--;
-    busy.changed(demand());
+    meanDemand.update(demand());
   }
 
-  /** The server takes no more connections; none is opened for a while. */
-  void openingRefused(long nowNanos) {
-    refusedPauseNanos =
+  /**
+   * Stops opening connections for a backoff time, after the server reported its connection limit.
+   */
+  void backOff(long nowNanos) {
+    refusalBackoffNanos =
         Math.min(
-            MAX_REFUSED_PAUSE_NANOS, Math.max(FIRST_REFUSED_PAUSE_NANOS, 2 * refusedPauseNanos));
-    closedUntilNanos = nowNanos + refusedPauseNanos;
+            MAX_REFUSAL_BACKOFF_NANOS,
+            Math.max(INITIAL_REFUSAL_BACKOFF_NANOS, 2 * refusalBackoffNanos));
+    backoffEndNanos = nowNanos + refusalBackoffNanos;
   }
 
-  /** Returns whether the server may be asked for another connection. */
+  /** Returns whether the backoff after a refused connection has ended. */
   boolean mayOpen(long nowNanos) {
-    return refusedPauseNanos == 0 || nowNanos - closedUntilNanos >= 0;
+    return refusalBackoffNanos == 0 || nowNanos - backoffEndNanos >= 0;
   }
 
-  /** Returns whether there is no connection, and none may be asked for now. */
-  boolean isShut(long nowNanos) {
+  /** Returns whether there is no connection and the backoff forbids to open one. */
+  boolean isUnavailable(long nowNanos) {
     return open() == 0 && !mayOpen(nowNanos);
   }
 
   void opened(C connection) {
-    refusedPauseNanos = 0;
+    refusalBackoffNanos = 0;
     opening--;
-    use(connection);
+    markInUse(connection);
   }
 
-  /** Returns whether the connection was in use here. */
-  boolean giveBack(C connection) {
+  /** Ends the use of a connection. Returns whether the connection was in use in this pool. */
+  boolean release(C connection) {
     Long since = inUse.remove(connection);
     if (since == null) {
       return false;
     }
-    meanUseNanos += USE_WEIGHT * (clock.nowNanos() - since - meanUseNanos);
-    busy.changed(demand());
+    meanUseNanos += MEAN_USE_WEIGHT * (clock.nowNanos() - since - meanUseNanos);
+    meanDemand.update(demand());
     return true;
   }
 
-  void keep(C connection) {
+  void addIdle(C connection) {
     idle.addLast(connection);
   }
 
-  /** Queues behind all that have the same priority or a lower number. */
-  void await(CompletableFuture<C> waiter, int priority) {
-    int place = waiting.size();
-    while (place > 0 && waiting.get(place - 1).priority() > priority) {
-      place--;
+  /** Queues a request behind all requests with the same or a smaller priority number. */
+  void enqueue(CompletableFuture<C> request, int priority) {
+    int index = requests.size();
+    while (index > 0 && requests.get(index - 1).priority() > priority) {
+      index--;
     }
-    waiting.add(place, new Waiter<>(waiter, priority));
-    busy.changed(demand());
+    requests.add(index, new QueuedRequest<>(request, priority));
+    meanDemand.update(demand());
   }
 
-  void stopWaiting(CompletableFuture<C> waiter) {
-    waiting.removeIf(entry -> entry.connection() == waiter);
-    busy.changed(demand());
+  void removeRequest(CompletableFuture<C> request) {
+    requests.removeIf(entry -> entry.connection() == request);
+    meanDemand.update(demand());
   }
 
-  Optional<CompletableFuture<C>> nextWaiter() {
-    if (waiting.isEmpty()) {
+  Optional<CompletableFuture<C>> pollRequest() {
+    if (requests.isEmpty()) {
       return Optional.empty();
     }
-    CompletableFuture<C> next = waiting.remove(0).connection();
-    busy.changed(demand());
+    CompletableFuture<C> next = requests.remove(0).connection();
+    meanDemand.update(demand());
     return Optional.of(next);
   }
 
-  /** The connections in use, and those that somebody waits for. */
+  /** Returns the number of connections in use, being opened or requested. */
   private int demand() {
-    return inUse.size() + opening + waiting.size();
+    return inUse.size() + opening + requests.size();
   }
 
-  /** Returns how many connections had work on average since the last call. */
+  /** Returns the time-weighted mean of the demand since the last call. */
   double takeMeanDemand() {
-    return busy.takeMean();
+    return meanDemand.takeMean();
   }
 
-  /** Returns those that wait, and forgets them. */
-  List<CompletableFuture<C>> takeWaiters() {
-    List<CompletableFuture<C>> all = waiting.stream().map(Waiter::connection).toList();
-    waiting.clear();
-    busy.changed(demand());
+  /** Removes and returns all queued requests. */
+  List<CompletableFuture<C>> takeRequests() {
+    List<CompletableFuture<C>> all = requests.stream().map(QueuedRequest::connection).toList();
+    requests.clear();
+    meanDemand.update(demand());
     return all;
   }
 
-  private record Waiter<C>(CompletableFuture<C> connection, int priority) {}
+  private record QueuedRequest<C>(CompletableFuture<C> connection, int priority) {}
 
-  /** Returns the connections to close: idle ones first, those in use only if nothing is allowed. */
+  /**
+   * Returns the connections to close, and removes the idle ones among them: idle connections beyond
+   * the allowed number, and all connections in use if none is allowed.
+   */
   List<C> excess(int allowed) {
     List<C> excess = new ArrayList<>();
     while (open() > allowed && !idle.isEmpty()) {
@@ -198,17 +210,20 @@
     return excess;
   }
 
-  /** Hands those that wait to the pool of a later start; returns the connections to close. */
-  List<C> retireTo(ServerPool<C> later) {
-    later.waiting.addAll(waiting);
-    waiting.clear();
-    List<C> old = new ArrayList<>(idle);
+  /**
+   * Transfers the queued requests to the pool of a later incarnation. Returns the idle connections,
+   * which must be closed.
+   */
+  List<C> transferRequestsTo(ServerPool<C> successor) {
+    successor.requests.addAll(requests);
+    requests.clear();
+    List<C> idleConnections = new ArrayList<>(idle);
     idle.clear();
-    return old;
+    return idleConnections;
   }
 
-  PoolUse readUse() {
-    PoolUse use = new PoolUse(open(), peakInUse, waiting.size());
+  PoolUse takeUse() {
+    PoolUse use = new PoolUse(open(), peakInUse, requests.size());
     peakInUse = inUse.size() + opening;
     return use;
   }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/pool/package-info.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/pool/package-info.java
@@ -1,2 +1,2 @@
-/** The connections that this proxy holds to backend servers. */
+/** Pools of connections from this proxy to backend servers. */
 package org.alderyard.proxy.pool;
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/pool/HeldConnectionTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/pool/BlockedConnectionTest.java
@@ -14,12 +14,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Pattern: an answer is lost on the only connection. While all is well a host has a single
- * connection to a server, so that all hosts find room on it when they return at once. The answer to
- * one statement does not come, and all others of this host wait behind it for most of a second,
- * though the server is idle.
+ * Guards against a lost answer on the only connection. In steady state a host has a single
+ * connection to a server, which leaves capacity for all hosts when they restart at the same time.
+ * If the answer to a statement is lost, the other statements of the host would wait for most of a
+ * second although the server is idle.
  */
-class HeldConnectionTest {
+class BlockedConnectionTest {
   private static final Duration LONG = Duration.ofMinutes(5);
 
   private final ModelGroup group = new ModelGroup("g1", "s1");
@@ -42,34 +42,34 @@
   }
 
   @Test
-  void statementBehindOneThatHangsGetsAnotherConnection() throws Exception {
+  void statementBehindBlockedConnectionGetsAnotherConnection() throws Exception {
     ConnectionPools<SessionConnection> pools = pools(2);
-    SessionConnection hangs = pools.take(server, LONG).join();
+    SessionConnection blocked = pools.take(server, LONG).join();
 
     SessionConnection other = pools.take(server, LONG).get(20, TimeUnit.SECONDS);
 
-    assertThat(other).isNotSameInstanceAs(hangs);
+    assertThat(other).isNotSameInstanceAs(blocked);
   }
 
   @Test
-  void allowanceThatBindsIsNotExceeded() throws Exception {
+  void allowanceWithoutSpareIsNotExceeded() throws Exception {
     ConnectionPools<SessionConnection> pools = pools(0);
-    final SessionConnection only = pools.take(server, LONG).join();
-    CompletableFuture<SessionConnection> waiting = pools.take(server, LONG);
+    final SessionConnection connection = pools.take(server, LONG).join();
+    CompletableFuture<SessionConnection> queued = pools.take(server, LONG);
     TimeUnit.MILLISECONDS.sleep(250);
-    assertThat(waiting.isDone()).isFalse();
+    assertThat(queued.isDone()).isFalse();
 
-    pools.release(server, only);
+    pools.release(server, connection);
 
-    assertThat(waiting.join()).isSameInstanceAs(only);
+    assertThat(queued.join()).isSameInstanceAs(connection);
   }
 
   /**
-   * Statements of 200 ms are usual here. A bound of 100 ms took each of them for held up: hosts
-   * opened and closed connections all the time, and each cost the server some of its work.
+   * Statements of 200 ms are common on this server. A fixed bound of 100 ms counted each of them as
+   * blocked, so hosts opened and closed connections continuously, at the cost of server capacity.
    */
   @Test
-  void longUseIsNotHeldUpWhereItIsUsual() {
+  void longUseIsNotBlockedWhereItIsUsual() {
     AtomicLong nowMillis = new AtomicLong(1_000);
     ServerPool<SessionConnection> pool =
         new ServerPool<>(1, () -> TimeUnit.MILLISECONDS.toNanos(nowMillis.get()));
@@ -78,26 +78,26 @@
       pool.beginOpening();
       pool.opened(connection);
       nowMillis.addAndGet(200);
-      pool.giveBack(connection);
+      pool.release(connection);
     }
     pool.beginOpening();
     pool.opened(group.connect(server, LONG).join());
 
     nowMillis.addAndGet(300);
-    assertThat(pool.heldUp()).isEqualTo(0);
+    assertThat(pool.blocked()).isEqualTo(0);
     nowMillis.addAndGet(600);
-    assertThat(pool.heldUp()).isEqualTo(1);
+    assertThat(pool.blocked()).isEqualTo(1);
   }
 
   @Test
-  void spareConnectionIsClosedWhenItIsGivenBack() throws Exception {
+  void spareConnectionIsClosedOnRelease() throws Exception {
     ConnectionPools<SessionConnection> pools = pools(2);
-    SessionConnection hangs = pools.take(server, LONG).join();
+    SessionConnection blocked = pools.take(server, LONG).join();
     SessionConnection spare = pools.take(server, LONG).get(20, TimeUnit.SECONDS);
 
     pools.release(server, spare);
 
     assertThat(spare.usable()).isFalse();
-    assertThat(hangs.usable()).isTrue();
+    assertThat(blocked.usable()).isTrue();
   }
 }
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/pool/FullServerTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/pool/FullServerTest.java
@@ -16,69 +16,74 @@
 import org.alderyard.testkit.session.ModelGroup;
 import org.junit.jupiter.api.Test;
 
-/** A server that still counts the connections of hosts that were lost, and takes no others. */
+/**
+ * Tests a server that is at its connection limit because it still counts the connections of failed
+ * hosts.
+ */
 class FullServerTest {
   private static final Duration LONG = Duration.ofMinutes(5);
 
   private final ModelGroup group = new ModelGroup("g1", "s1");
   private final ServerState server = group.states().get(0);
   private long nowMillis = 1_000;
-  private int room;
-  private int asked;
+  private int acceptableConnections;
+  private int connectAttempts;
   private final ConnectionPools<SessionConnection> pools =
       new ConnectionPools<>(
-          (to, timeout) -> connect(), to -> 2, () -> TimeUnit.MILLISECONDS.toNanos(nowMillis));
+          (target, timeout) -> connect(),
+          target -> 2,
+          () -> TimeUnit.MILLISECONDS.toNanos(nowMillis));
 
   private CompletableFuture<SessionConnection> connect() {
-    asked++;
-    if (room == 0) {
+    connectAttempts++;
+    if (acceptableConnections == 0) {
       return CompletableFuture.failedFuture(
           new ConnectRefusedException(RefusalCode.CONNECTION_LIMIT, "full"));
     }
-    room--;
+    acceptableConnections--;
     return group.connect(server, LONG);
   }
 
   @Test
-  void statementsThatWaitDoNotStormServer() {
-    // All hosts lost power and came back in two seconds; the servers counted the dead connections
-    // for another one. Each of hundreds of statements asked for a connection, again and again:
-    // 1,600 refusals in a second, on hosts whose code was cold.
-    List<CompletableFuture<SessionConnection>> taken = new ArrayList<>();
+  void queuedStatementsDoNotFloodServerAtItsConnectionLimit() {
+    // After a power loss, all hosts restarted within two seconds, and the servers counted the dead
+    // connections for about another second. Hundreds of statements opened connections repeatedly,
+    // which caused 1,600 refusals in a second on hosts that were still warming up.
+    List<CompletableFuture<SessionConnection>> requests = new ArrayList<>();
     for (int statement = 0; statement < 200; statement++) {
       nowMillis += 5;
-      taken.add(pools.take(server, LONG));
+      requests.add(pools.take(server, LONG));
     }
 
-    assertThat(asked).isAtMost(10);
-    for (CompletableFuture<SessionConnection> none : taken) {
-      Throwable failure = none.handle((connection, why) -> why).join();
+    assertThat(connectAttempts).isAtMost(10);
+    for (CompletableFuture<SessionConnection> request : requests) {
+      Throwable failure = request.handle((connection, error) -> error).join();
       assertThat(Futures.typed(failure).code()).isEqualTo(ErrorCode.NO_ELIGIBLE_SERVER);
     }
   }
 
   @Test
-  void serverIsAskedAgainOnceTheDeadConnectionsAreGone() {
+  void connectionIsRetriedAfterTheBackoff() {
     pools.take(server, LONG);
-    room = 1;
+    acceptableConnections = 1;
     nowMillis += 200;
 
     assertThat(pools.take(server, LONG).join().usable()).isTrue();
   }
 
   @Test
-  void statementWaitsForTheOneConnectionThatThereIs() {
-    // There is room for one connection of this host: the second statement gets it after the
-    // first, instead of asking the server in vain or going without.
-    room = 1;
-    final SessionConnection only = pools.take(server, LONG).join();
+  void queuedStatementReceivesTheReleasedConnection() {
+    // The server accepts one connection of this host. The second statement receives it after the
+    // first, instead of connecting without success or failing.
+    acceptableConnections = 1;
+    final SessionConnection connection = pools.take(server, LONG).join();
     pools.take(server, LONG);
-    CompletableFuture<SessionConnection> waiting = pools.take(server, LONG);
-    assertThat(waiting.isDone()).isFalse();
+    CompletableFuture<SessionConnection> queued = pools.take(server, LONG);
+    assertThat(queued.isDone()).isFalse();
 
-    pools.release(server, only);
+    pools.release(server, connection);
 
-    assertThat(waiting.join()).isSameInstanceAs(only);
-    assertThat(asked).isEqualTo(2);
+    assertThat(queued.join()).isSameInstanceAs(connection);
+    assertThat(connectAttempts).isEqualTo(2);
   }
 }
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/pool/ServerPoolsTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/pool/ServerPoolsTest.java
@@ -29,7 +29,7 @@
 import org.alderyard.common.view.ServerStatus;
 import org.junit.jupiter.api.Test;
 
-/** Connections that stay within what is allowed. */
+/** Tests that connections stay within the allowance and the connection rate. */
 class ServerPoolsTest {
   private static final Duration LONG = Duration.ofMinutes(5);
   private static final ServerState SERVER = server(1);
@@ -49,22 +49,25 @@
   }
 
   @Test
-  void oneThatWaitsGetsTheConnectionThatIsGivenBack() {
-    Server server = new Server(2);
+  void queuedRequestReceivesTheReleasedConnection() {
+    FakeServer server = new FakeServer(2);
     final ServerConnection first = server.pools.take(SERVER, LONG).join();
     server.pools.take(SERVER, LONG).join();
     CompletableFuture<ServerConnection> third = server.pools.take(SERVER, LONG);
     assertThat(third.isDone()).isFalse();
-    assertThat(server.pools.readUse(SERVER.id())).isEqualTo(new PoolUse(2, 2, 1));
+    assertThat(server.pools.takeUse(SERVER.id())).isEqualTo(new PoolUse(2, 2, 1));
     server.pools.release(SERVER, first);
     assertThat(third.join()).isSameInstanceAs(first);
     assertThat(server.open()).isEqualTo(2);
   }
 
-  /** A proxy that holds no lease says so at once and as not run, so that another one is asked. */
+  /**
+   * Without a lease the request fails immediately with {@code NOT_RUN}, so that the caller can use
+   * another proxy.
+   */
   @Test
-  void withoutLeaseNothingIsOpened() {
-    Server server = new Server(0);
+  void noConnectionIsOpenedWithoutLease() {
+    FakeServer server = new FakeServer(0);
     AlderyardException error = failure(server.pools.take(SERVER, LONG));
     assertThat(error.code()).isEqualTo(ErrorCode.NO_ELIGIBLE_SERVER);
     assertThat(error.outcome()).isEqualTo(Outcome.NOT_RUN);
@@ -72,47 +75,52 @@
   }
 
   /**
-   * A proxy is cut off from the control hosts and its lease ends while a statement runs. The server
-   * may have granted the connections to others by then, so the running one is closed as well.
+   * The lease of a proxy that is partitioned from the control hosts expires while a statement runs.
+   * The connections may by then be granted to other proxies, so the connection in use is closed as
+   * well.
    */
   @Test
-  void endedLeaseClosesEvenWhatIsInUse() {
-    Server server = new Server(3);
-    final ServerConnection used = server.pools.take(SERVER, LONG).join();
+  void expiredLeaseClosesConnectionsInUse() {
+    FakeServer server = new FakeServer(3);
+    final ServerConnection inUse = server.pools.take(SERVER, LONG).join();
     server.pools.release(SERVER, server.pools.take(SERVER, LONG).join());
     server.allowed = 0;
-    server.pools.keepToAllowances(List.of(SERVER));
+    server.pools.enforceAllowances(List.of(SERVER));
     assertThat(server.open()).isEqualTo(0);
-    server.pools.release(SERVER, used);
-    assertThat(server.pools.readUse(SERVER.id()).open()).isEqualTo(0);
+    server.pools.release(SERVER, inUse);
+    assertThat(server.pools.takeUse(SERVER.id()).open()).isEqualTo(0);
   }
 
   /**
-   * A server restarts while a statement runs and another one waits. The old connection must not be
-   * handed out for the new start, nor be counted there; the one that waits gets a new one.
+   * A server restarts while one statement runs and another is queued. The old connection must be
+   * neither reused nor counted for the new incarnation, and the queued request gets a new
+   * connection.
    */
   @Test
-  void connectionsOfAnEarlierStartAreNotHandedOut() {
-    Server server = new Server(1);
+  void connectionsOfAnEarlierIncarnationAreNotReused() {
+    FakeServer server = new FakeServer(1);
     ServerConnection old = server.pools.take(SERVER, LONG).join();
-    CompletableFuture<ServerConnection> waiting = server.pools.take(SERVER, LONG);
-    server.pools.keepToAllowances(List.of(server(2)));
-    assertThat(waiting.join()).isNotSameInstanceAs(old);
+    CompletableFuture<ServerConnection> queued = server.pools.take(SERVER, LONG);
+    server.pools.enforceAllowances(List.of(server(2)));
+    assertThat(queued.join()).isNotSameInstanceAs(old);
     server.pools.release(SERVER, old);
     assertThat(old.usable()).isFalse();
-    assertThat(server.pools.readUse(SERVER.id()).open()).isEqualTo(1);
+    assertThat(server.pools.takeUse(SERVER.id()).open()).isEqualTo(1);
   }
 
-  /** A connection attempt fails while others wait for its place: they must not wait for ever. */
+  /**
+   * A connection attempt fails while another request is queued. Without a new attempt the queued
+   * request would never complete.
+   */
   @Test
-  void failedOpeningPassesItsPlaceOn() {
-    Server server = new Server(1);
-    server.hold = true;
+  void failedOpeningServesTheNextRequest() {
+    FakeServer server = new FakeServer(1);
+    server.deferConnects = true;
     CompletableFuture<ServerConnection> first = server.pools.take(SERVER, LONG);
     final CompletableFuture<ServerConnection> second = server.pools.take(SERVER, LONG);
-    server.hold = false;
+    server.deferConnects = false;
     server
-        .held
+        .pendingConnects
         .remove()
         .completeExceptionally(AlderyardException.notRun(ErrorCode.CONNECTION_LOST, "refused"));
     assertThat(failure(first).code()).isEqualTo(ErrorCode.CONNECTION_LOST);
@@ -120,14 +128,14 @@
   }
 
   /**
-   * After a failover every proxy turns to the new primary at once, and a server that does nothing
-   * but open connections answers no statement. Past the burst, one that would wait longer than its
-   * caller is refused at once.
+   * After a failover every proxy connects to the new primary at the same time, and a server that
+   * only opens connections answers no statements. Beyond the burst, a request is delayed, or
+   * refused immediately if the delay reaches its timeout.
    */
   @Test
-  void connectionsPastTheBurstWaitForTheirTurn() {
+  void connectionsBeyondTheBurstAreDelayed() {
     PausedClock clock = new PausedClock();
-    Server server = new Server(10);
+    FakeServer server = new FakeServer(10);
     try (WorkerPool workers = new WorkerPool("test", 1)) {
       PacedConnector paced =
           new PacedConnector((address, timeout) -> server.connect(), clock, workers, () -> 5, 2);
@@ -137,55 +145,55 @@
       AlderyardException refused = failure(paced.connect(SERVER.address(), Duration.ofMillis(100)));
       assertThat(refused.outcome()).isEqualTo(Outcome.NOT_RUN);
       assertThat(refused.retryAfterMillis().getAsLong()).isEqualTo(201);
-      CompletableFuture<ServerConnection> waiting = paced.connect(SERVER.address(), LONG);
-      assertThat(waiting.isDone()).isFalse();
+      CompletableFuture<ServerConnection> queued = paced.connect(SERVER.address(), LONG);
+      assertThat(queued.isDone()).isFalse();
       clock.advance(Duration.ofMillis(200));
-      assertThat(waiting.join()).isNotNull();
+      assertThat(queued.join()).isNotNull();
       assertThat(server.open()).isEqualTo(3);
     }
   }
 
   @Property(seed = "20261202", tries = 200)
-  void openConnectionsStayWithinTheGreatestAllowance(
+  void openConnectionsStayWithinTheMaximumAllowance(
       @ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    Server server = new Server(4);
+    FakeServer server = new FakeServer(4);
     List<ServerConnection> taken = new ArrayList<>();
     for (int step = 0; step < 300; step++) {
       int action = random.nextInt(5);
       if (action < 2) {
         server.pools.take(SERVER, LONG).thenAccept(taken::add);
       } else if (action < 4 && !taken.isEmpty()) {
-        Connection connection = (Connection) taken.remove(random.nextInt(taken.size()));
+        FakeConnection connection = (FakeConnection) taken.remove(random.nextInt(taken.size()));
         connection.open &= random.nextInt(4) != 0;
         server.pools.release(SERVER, connection);
       } else {
         server.allowed = 1 + random.nextInt(4);
-        server.pools.keepToAllowances(List.of(SERVER));
+        server.pools.enforceAllowances(List.of(SERVER));
       }
       assertThat(server.open()).isAtMost(4);
-      assertThat(server.pools.readUse(SERVER.id()).open()).isAtLeast(server.open());
+      assertThat(server.pools.takeUse(SERVER.id()).open()).isAtLeast(server.open());
     }
   }
 
-  /** A server that counts its connections, and the pools in front of it. */
-  private static final class Server {
-    final List<Connection> connections = new ArrayList<>();
-    final Deque<CompletableFuture<ServerConnection>> held = new ArrayDeque<>();
+  /** A server that counts its connections, together with the pools of connections to it. */
+  private static final class FakeServer {
+    final List<FakeConnection> connections = new ArrayList<>();
+    final Deque<CompletableFuture<ServerConnection>> pendingConnects = new ArrayDeque<>();
     int allowed;
-    boolean hold;
+    boolean deferConnects;
     final ServerPools pools = new ServerPools((address, timeout) -> connect(), id -> allowed);
 
-    Server(int allowed) {
+    FakeServer(int allowed) {
       this.allowed = allowed;
     }
 
     private CompletableFuture<ServerConnection> connect() {
-      if (hold) {
-        held.add(new CompletableFuture<>());
-        return held.getLast();
+      if (deferConnects) {
+        pendingConnects.add(new CompletableFuture<>());
+        return pendingConnects.getLast();
       }
-      connections.add(new Connection());
+      connections.add(new FakeConnection());
       return CompletableFuture.completedFuture(connections.get(connections.size() - 1));
     }
 
@@ -194,7 +202,7 @@
     }
   }
 
-  private static final class Connection implements ServerConnection {
+  private static final class FakeConnection implements ServerConnection {
     boolean open = true;
 
     @Override
