--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/pool/TimeWeightedMean.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/pool/TimeWeightedMean.java
@@ -5,32 +5,32 @@
 /** Computes the time-weighted mean of a value that changes over time. Not thread-safe. */
 final class TimeWeightedMean {
   private final MonotonicClock clock;
-  private long windowStartNanos;
-  private long updatedNanos;
+  private long sinceNanos;
+  private long changedNanos;
   private int current;
-  private double weightedSum;
+  private double sum;
 
   TimeWeightedMean(MonotonicClock clock) {
     this.clock = clock;
-    this.windowStartNanos = clock.nowNanos();
-    this.updatedNanos = windowStartNanos;
+    this.sinceNanos = clock.nowNanos();
+    this.changedNanos = sinceNanos;
   }
 
   /** Sets the value that applies from now on. */
   void update(int value) {
     long now = clock.nowNanos();
-    weightedSum += (double) current * (now - updatedNanos);
-    updatedNanos = now;
+    sum += (double) current * (now - changedNanos);
+    changedNanos = now;
     current = value;
   }
 
   /** Returns the mean since the last call, and starts a new window. */
   double takeMean() {
     update(current);
-    long windowNanos = updatedNanos - windowStartNanos;
-    double mean = windowNanos > 0 ? weightedSum / windowNanos : current;
-    windowStartNanos = updatedNanos;
-    weightedSum = 0;
+    long spanNanos = changedNanos - sinceNanos;
+    double mean = spanNanos > 0 ? sum / spanNanos : current;
+    sinceNanos = changedNanos;
+    sum = 0;
     return mean;
   }
 }
