--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/lease/ConnectionLease.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/lease/ConnectionLease.java
@@ -1,61 +1,67 @@
 package org.alderyard.proxy.lease;
 
 /**
- * One proxy's lease of one server's connections. Not safe for several threads.
+ * A proxy's lease of the connections to one server. Not thread-safe.
  *
- * <p>The lease is counted from before its request was sent, and so ends before the grantor counts
- * it as ended. While a request is under way the proxy keeps to what it said that it holds, and a
- * reply to any but the latest request is void: the grantor may have given away what an older reply
- * says.
+ * <p>The lease term starts before the request is sent, so the lease expires here before it expires
+ * at the grantor. While a request is pending, the proxy does not exceed the number of connections
+ * that it reported as held. A reply to any request but the latest is ignored, because the grantor
+ * may since have granted its connections to other proxies.
  */
 public final class ConnectionLease {
-  /** The part of a lease that is not used, for a clock of this host that is slower. */
+  /**
+   * The fraction of a lease, as a divisor, that is left unused in case the clock of this host is
+   * slow.
+   */
   private static final int CLOCK_MARGIN_DIVISOR = 20;
 
   private int granted;
-  private long untilNanos;
+  private long expiryNanos;
   private boolean everGranted;
   private long sequence;
-  private long sentNanos;
-  private boolean underWay;
-  private int promised;
+  private long requestSentNanos;
+  private boolean requestPending;
+  private int reportedHeld;
 
-  /** Returns how many connections the proxy may have now. */
+  /**
+   * Returns the number of connections that the proxy may currently have, or 0 if the lease has
+   * expired.
+   */
   public int allowed(long nowNanos) {
-    if (!everGranted || untilNanos - nowNanos <= 0) {
+    if (!everGranted || expiryNanos - nowNanos <= 0) {
       return 0;
     }
-    return underWay ? Math.min(granted, promised) : granted;
+    return requestPending ? Math.min(granted, reportedHeld) : granted;
   }
 
-  /** Returns how many connections the last lease allowed, whether it has run out or not. */
-  public int lastAllowed() {
-    return underWay ? Math.min(granted, promised) : granted;
+  /** Returns the number of connections that the last lease allows, also after it has expired. */
+  public int lastGranted() {
+    return requestPending ? Math.min(granted, reportedHeld) : granted;
   }
 
   /**
-   * Begins a request.
+   * Starts a request and supersedes a pending one.
    *
-   * @param number the number of the request, greater than all before
-   * @param open the connections that are open or being opened
-   * @return the most connections that the proxy has or may open until the reply
+   * @param requestNumber the number of the request, greater than those of all earlier requests
+   * @param open the number of connections that are open or being opened
+   * @return the maximum number of connections until the reply arrives, to report as held
    */
-  public int request(long number, int open, long nowNanos) {
-    promised = Math.max(open, allowed(nowNanos));
-    sequence = number;
-    sentNanos = nowNanos;
-    underWay = true;
-    return promised;
+  public int request(long requestNumber, int open, long nowNanos) {
+    reportedHeld = Math.max(open, allowed(nowNanos));
+    sequence = requestNumber;
+    requestSentNanos = nowNanos;
+    requestPending = true;
+    return reportedHeld;
   }
 
-  /** Takes in a reply; one to an earlier request changes nothing. */
-  public void reply(long number, int connections, long leaseNanos) {
-    if (!underWay || number != sequence) {
+  /** Applies the reply to the pending request. A reply to an earlier request is ignored. */
+  public void reply(long requestNumber, int connections, long leaseNanos) {
+    if (!requestPending || requestNumber != sequence) {
       return;
     }
     granted = connections;
-    untilNanos = sentNanos + leaseNanos - leaseNanos / CLOCK_MARGIN_DIVISOR;
+    expiryNanos = requestSentNanos + leaseNanos - leaseNanos / CLOCK_MARGIN_DIVISOR;
     everGranted = true;
-    underWay = false;
+    requestPending = false;
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/lease/ConnectionWish.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/lease/ConnectionWish.java
@@ -4,16 +4,16 @@
 import org.alderyard.common.id.ServerId;
 import org.alderyard.proxy.pool.PoolUse;
 
-/** Says how many connections to a server a proxy asks for. */
+/** Determines how many connections to a server a proxy requests. */
 public interface ConnectionWish {
 
   /**
-   * Returns how many connections the proxy could use.
+   * Returns the number of connections that the proxy requests.
    *
-   * @param use how its connections were used since the last call
+   * @param use the use of the connections since the last call
    */
   int wanted(ServerId server, PoolUse use);
 
-  /** Forgets all but these servers. */
+  /** Removes the state of all servers that are not in the given set. */
   default void retain(Set<ServerId> servers) {}
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/lease/LeaseClient.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/lease/LeaseClient.java
@@ -24,11 +24,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Renews the leases of connections, and keeps the pools to them. */
+/** Renews the connection leases of this proxy and applies them to its connection pools. */
 public final class LeaseClient {
   private static final Logger log = LoggerFactory.getLogger(LeaseClient.class);
 
-  /** The pace of renewals unless another is given. */
+  /** The default interval between renewals. */
   public static final Duration DEFAULT_INTERVAL = Duration.ofMillis(500);
 
   private static final Duration CALL_TIMEOUT = Duration.ofSeconds(1);
@@ -38,14 +38,14 @@
   private final ViewHolder views;
   private final LeaseTable leases;
   private final ConnectionPools<?> pools;
-  private final ConnectionWish wish;
+  private final ConnectionWish target;
   private final AtomicLong sequence = new AtomicLong();
-  private final AtomicBoolean underWay = new AtomicBoolean();
+  private final AtomicBoolean requestPending = new AtomicBoolean();
 
   /**
-   * Creates a client that does nothing until {@link #start(WorkerPool)}.
+   * Creates a client that is inactive until {@link #start(WorkerPool)} is called.
    *
-   * @param wish what this proxy asks for
+   * @param target determines how many connections this proxy requests
    */
   public LeaseClient(
       ControlClient control,
@@ -53,21 +53,21 @@
       ViewHolder views,
       LeaseTable leases,
       ConnectionPools<?> pools,
-      ConnectionWish wish) {
+      ConnectionWish target) {
     this.control = Objects.requireNonNull(control);
     this.self = Objects.requireNonNull(self);
     this.views = Objects.requireNonNull(views);
     this.leases = Objects.requireNonNull(leases);
     this.pools = Objects.requireNonNull(pools);
-    this.wish = Objects.requireNonNull(wish);
+    this.target = Objects.requireNonNull(target);
   }
 
-  /** Starts to renew. */
+  /** Starts renewing leases at the default interval. */
   public void start(WorkerPool workers) {
     start(workers, DEFAULT_INTERVAL);
   }
 
-  /** Starts to renew at the given pace. */
+  /** Starts renewing leases at the given interval. */
   public void start(WorkerPool workers, Duration interval) {
     workers.execute(this::renew);
     workers.scheduleRepeatedly(interval, this::renew);
@@ -76,30 +76,30 @@
   private void renew() {
     View view = views.current();
     leases.retain(view.servers().keySet());
-    wish.retain(view.servers().keySet());
+    target.retain(view.servers().keySet());
     pools.enforceAllowances(view.servers().values());
-    // A second request would make the reply to the first one void.
-    if (view.servers().isEmpty() || !underWay.compareAndSet(false, true)) {
+    // A second request would invalidate the reply to the first one.
+    if (view.servers().isEmpty() || !requestPending.compareAndSet(false, true)) {
       return;
     }
-    long number = sequence.incrementAndGet();
+    long requestNumber = sequence.incrementAndGet();
     RenewGrantsRequest.Builder request =
         RenewGrantsRequest.newBuilder()
             .setHost(self.id().value())
             .setIncarnation(self.incarnation())
-            .setSequence(number);
+            .setSequence(requestNumber);
     for (ServerState server : view.servers().values()) {
-      demand(server, number).ifPresent(request::addDemands);
+      demand(server, requestNumber).ifPresent(request::addDemands);
     }
     if (request.getDemandsCount() == 0) {
-      underWay.set(false);
+      requestPending.set(false);
       return;
     }
     control
         .callIdempotent(GrantMethods.RENEW_GRANTS, request.build(), CALL_TIMEOUT)
         .whenComplete(
             (reply, failure) -> {
-              underWay.set(false);
+              requestPending.set(false);
               if (failure == null) {
                 accept(reply);
               } else {
@@ -108,17 +108,20 @@
             });
   }
 
-  /** Returns what is asked for; nothing of a server that this host has no business with. */
-  private Optional<ConnectionDemand> demand(ServerState server, long number) {
+  /**
+   * Returns the demand for connections to a server, or empty if this host has no connections to it,
+   * holds no lease for it and needs none.
+   */
+  private Optional<ConnectionDemand> demand(ServerState server, long requestNumber) {
     PoolUse use = pools.takeUse(server.id());
-    int wanted = wish.wanted(server.id(), use);
-    if (wanted == 0 && use.open() == 0 && leases.unleased(server.id())) {
+    int wanted = target.wanted(server.id(), use);
+    if (wanted == 0 && use.open() == 0 && leases.hasNoLease(server.id())) {
       return Optional.empty();
     }
     return Optional.of(
         ConnectionDemand.newBuilder()
             .setServer(server.id().value())
-            .setHeld(leases.request(server.id(), number, use.open()))
+            .setHeld(leases.request(server.id(), requestNumber, use.open()))
             .setWanted(wanted)
             .build());
   }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/lease/LeaseTable.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/lease/LeaseTable.java
@@ -10,45 +10,53 @@
 import org.alderyard.common.time.MonotonicClock;
 import org.alderyard.proxy.pool.ConnectionAllowance;
 
-/** The leases of all servers. Lock: the object itself, a leaf. */
+/**
+ * The connection leases of all servers. Thread-safe; no other lock is acquired while the lock of
+ * this object is held.
+ */
 public final class LeaseTable implements ConnectionAllowance {
-  /** Beside one that hangs and one that rests in a transaction there is a third. */
-  private static final int SPARE = 2;
+  /**
+   * With two spare connections, one remains usable while a lost answer blocks one connection and an
+   * idle transaction holds another.
+   */
+  private static final int SPARE_CONNECTIONS = 2;
 
   private final MonotonicClock clock;
-  private final Optional<ToIntFunction<ServerId>> withoutLease;
+  private final Optional<ToIntFunction<ServerId>> minConnections;
   // Guarded by this.
   private final Map<ServerId, ConnectionLease> leases = new HashMap<>();
 
-  /** Creates a table without a lease. */
+  /** Creates a table without leases. No connection is allowed without a lease. */
   public LeaseTable(MonotonicClock clock) {
     this(clock, Optional.empty());
   }
 
   /**
-   * Creates a table for servers that refuse connections beyond their limit by themselves.
+   * Creates a table for servers that enforce their own connection limits.
    *
-   * <p>Guards against callers who are refused although the servers are up, when no leader grants
-   * leases for a while: connections are kept then, as too many of them break nothing.
+   * <p>The last leases stay in force after they expire. Otherwise callers would be refused while no
+   * leader grants leases, although the servers are available; too many connections do no harm to
+   * such servers.
    *
-   * @param withoutLease the connections to a server that this host may have whatever its lease says
+   * @param minConnections returns the number of connections to a server that this host may have
+   *     regardless of its lease
    */
-  public LeaseTable(MonotonicClock clock, ToIntFunction<ServerId> withoutLease) {
-    this(clock, Optional.of(withoutLease));
+  public LeaseTable(MonotonicClock clock, ToIntFunction<ServerId> minConnections) {
+    this(clock, Optional.of(minConnections));
   }
 
-  private LeaseTable(MonotonicClock clock, Optional<ToIntFunction<ServerId>> withoutLease) {
+  private LeaseTable(MonotonicClock clock, Optional<ToIntFunction<ServerId>> minConnections) {
     this.clock = Objects.requireNonNull(clock);
-    this.withoutLease = withoutLease;
+    this.minConnections = minConnections;
   }
 
   @Override
   public int allowed(ServerId server) {
-    if (withoutLease.isEmpty()) {
+    if (minConnections.isEmpty()) {
       return leased(server, lease -> lease.allowed(clock.nowNanos()));
     }
-    int first = withoutLease.get().applyAsInt(server);
-    return Math.max(first, leased(server, ConnectionLease::lastAllowed));
+    int minimum = minConnections.get().applyAsInt(server);
+    return Math.max(minimum, leased(server, ConnectionLease::lastGranted));
   }
 
   private synchronized int leased(ServerId server, ToIntFunction<ConnectionLease> connections) {
@@ -58,23 +66,25 @@
 
   @Override
   public int spare(ServerId server) {
-    return withoutLease.isEmpty() ? 0 : SPARE;
+    return minConnections.isEmpty() ? 0 : SPARE_CONNECTIONS;
   }
 
-  /** Returns whether there is no lease of a server's connections, so that none is to be renewed. */
-  synchronized boolean unleased(ServerId server) {
+  /**
+   * Returns whether no connections to the server are leased, so that there is no lease to renew.
+   */
+  synchronized boolean hasNoLease(ServerId server) {
     ConnectionLease lease = leases.get(server);
-    return lease == null || lease.lastAllowed() == 0;
+    return lease == null || lease.lastGranted() == 0;
   }
 
-  /** Begins a request for one server; returns the most connections until its reply. */
+  /** Starts a request for one server. Returns the maximum number of connections until its reply. */
   synchronized int request(ServerId server, long sequence, int open) {
     return leases
         .computeIfAbsent(server, id -> new ConnectionLease())
         .request(sequence, open, clock.nowNanos());
   }
 
-  /** Takes in the reply for one server. */
+  /** Applies the reply for one server. A reply to an earlier request is ignored. */
   synchronized void reply(ServerId server, long sequence, int connections, long leaseNanos) {
     ConnectionLease lease = leases.get(server);
     if (lease != null) {
@@ -82,7 +92,7 @@
     }
   }
 
-  /** Forgets the servers that left the view. */
+  /** Removes the leases of all servers that are not in the given set. */
   synchronized void retain(Set<ServerId> servers) {
     leases.keySet().retainAll(servers);
   }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/lease/PeakWish.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/lease/PeakWish.java
@@ -6,22 +6,25 @@
 import org.alderyard.proxy.pool.PoolUse;
 
 /**
- * Asks for the most that was used of late and some more, where a proxy must not exceed its lease.
+ * Requests the recent peak use plus headroom, for proxies that must not exceed their leases.
  *
- * <p>Guards against a demand that its own limit hides: the lease sets how many statements may run
- * at once, and what runs at once was the demand, so a proxy with sixty waiting statements asked for
- * three connections and ran one statement at a time. What waits before the gate counts too.
+ * <p>The lease also limits how many statements run concurrently, so the peak use alone cannot show
+ * unmet demand: a proxy with sixty queued statements requested three connections and ran one
+ * statement at a time. Statements queued before the limiter of a server therefore count as demand.
  */
 public final class PeakWish implements ConnectionWish {
-  /** What a proxy asks for beyond its use of late, so that a rise finds a connection. */
+  /**
+   * The number of connections requested beyond recent use, so that a connection is available when
+   * load rises.
+   */
   private static final int HEADROOM = 2;
 
   private final ToIntFunction<ServerId> queued;
 
   /**
-   * Creates a wish.
+   * Creates the target.
    *
-   * @param queued the most statements that waited before a server since the last call
+   * @param queued returns the maximum number of statements queued for a server since the last call
    */
   public PeakWish(ToIntFunction<ServerId> queued) {
     this.queued = Objects.requireNonNull(queued);
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/lease/SteadyWish.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/lease/SteadyWish.java
@@ -9,32 +9,40 @@
 import org.alderyard.proxy.pool.PoolUse;
 
 /**
- * Asks for what the work of late needs on average, and gives it back slowly.
+ * Requests the connections that the recent mean demand needs, and reduces the number slowly.
  *
- * <p>Peaks of a dozen hosts do not fall together, so the sum of their peaks is far more than they
- * need, and leaves no room on a server for hosts that come back. A wish that fell as fast as it
- * rises would close connections and open them again in the next wave; a new one is dear.
+ * <p>The peaks of a dozen hosts do not coincide, so the sum of the peaks far exceeds the actual
+ * need and leaves no capacity on a server for hosts that restart. A number that falls as fast as it
+ * rises would close connections and reopen them with the next burst, and opening a connection is
+ * expensive.
  *
- * <p>Lock: the object itself; the demand is read while it is held.
+ * <p>Thread-safe. The lock is this object; the demand is read while the lock is held.
  */
 public final class SteadyWish implements ConnectionWish {
-  /** The part of the level that is kept from one call to the next while there is less work. */
+  /** The fraction of the smoothed demand that remains after each call with less demand. */
   private static final double DECAY = 0.9;
 
-  /** Connections for each one that has work on average: statements come in bunches. */
+  /**
+   * The number of connections per unit of mean demand. It exceeds 1 because statements arrive in
+   * bursts.
+   */
   private static final double SPARE_FACTOR = 1.5;
 
-  /** Below this a server has had no work for so long that its connection may go. */
-  private static final double IDLE_LEVEL = 0.005;
+  /**
+   * The smoothed demand below which a server has been idle long enough to give up its last
+   * connection.
+   */
+  private static final double IDLE_DEMAND = 0.005;
 
   private final ToDoubleFunction<ServerId> meanDemand;
   // Guarded by this.
-  private final Map<ServerId, Double> levels = new HashMap<>();
+  private final Map<ServerId, Double> smoothedDemands = new HashMap<>();
 
   /**
-   * Creates a wish.
+   * Creates the target.
    *
-   * @param meanDemand how many connections had or wanted work on average since the last call
+   * @param meanDemand returns the time-weighted mean number of connections in use or requested
+   *     since the last call
    */
   public SteadyWish(ToDoubleFunction<ServerId> meanDemand) {
     this.meanDemand = Objects.requireNonNull(meanDemand);
@@ -43,13 +51,13 @@
   @Override
   public synchronized int wanted(ServerId server, PoolUse use) {
     double mean = meanDemand.applyAsDouble(server);
-    double level = Math.max(mean, levels.getOrDefault(server, 0.0) * DECAY);
-    levels.put(server, level);
-    return level < IDLE_LEVEL ? 0 : (int) Math.ceil(level * SPARE_FACTOR);
+    double smoothedDemand = Math.max(mean, smoothedDemands.getOrDefault(server, 0.0) * DECAY);
+    smoothedDemands.put(server, smoothedDemand);
+    return smoothedDemand < IDLE_DEMAND ? 0 : (int) Math.ceil(smoothedDemand * SPARE_FACTOR);
   }
 
   @Override
   public synchronized void retain(Set<ServerId> servers) {
-    levels.keySet().retainAll(servers);
+    smoothedDemands.keySet().retainAll(servers);
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/lease/package-info.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/lease/package-info.java
@@ -1,2 +1,2 @@
-/** The connections that the control hosts have leased to this proxy. */
+/** Leases, granted by the control hosts, of connections from this proxy to backend servers. */
 package org.alderyard.proxy.lease;
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/lease/SteadyWishTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/lease/SteadyWishTest.java
@@ -10,36 +10,36 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Pattern: waves of work over a dozen hosts. Each host asked for its own peak of the last second,
- * so that together they held all connections that a server accepts while a third of them was in
- * use, and closed and opened them again with each wave.
+ * Guards against excess connections during bursts of work over a dozen hosts. When each host
+ * requested its own peak of the last second, the hosts together held all connections that a server
+ * accepts with a third of them in use, and closed and reopened them with each burst.
  */
 class SteadyWishTest {
   private static final ServerId SERVER = new ServerId("s1");
   private static final PoolUse PEAK_OF_FIVE = new PoolUse(5, 5, 0);
 
   private final Map<ServerId, Double> means = new HashMap<>();
-  private final SteadyWish wish = new SteadyWish(server -> means.getOrDefault(server, 0.0));
+  private final SteadyWish target = new SteadyWish(server -> means.getOrDefault(server, 0.0));
 
   private int wanted(double mean) {
     means.put(SERVER, mean);
-    return wish.wanted(SERVER, PEAK_OF_FIVE);
+    return target.wanted(SERVER, PEAK_OF_FIVE);
   }
 
   @Test
-  void peakAloneIsNoNeed() {
+  void peakAloneDoesNotRaiseTheTarget() {
     assertThat(wanted(0.3)).isEqualTo(1);
   }
 
   @Test
-  void workThatWaitsRaisesTheWishAtOnce() {
+  void higherMeanDemandRaisesTheTargetImmediately() {
     wanted(0.3);
 
     assertThat(wanted(2.0)).isEqualTo(3);
   }
 
   @Test
-  void wishFallsOverSeveralRenewals() {
+  void targetFallsOverSeveralRenewals() {
     wanted(2.0);
 
     assertThat(wanted(0.0)).isEqualTo(3);
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void serverWithoutWorkIsGivenUpInTheEnd() {
+  void idleServerIsReleasedEventually() {
     wanted(0.5);
     for (int renewal = 0; renewal < 60; renewal++) {
       wanted(0.0);
@@ -60,9 +60,9 @@
   }
 
   @Test
-  void serversThatLeftAreForgotten() {
+  void removedServersLoseTheirState() {
     wanted(2.0);
-    wish.retain(Set.of());
+    target.retain(Set.of());
 
     assertThat(wanted(0.0)).isEqualTo(0);
   }
