--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/api/AnnouncementHandler.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/api/AnnouncementHandler.java
@@ -24,7 +24,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Takes the announcements of backend servers and passes them on to the control hosts. */
+/** Receives announcements of backend servers and forwards them to the control hosts. */
 public final class AnnouncementHandler {
   private static final Logger log = LoggerFactory.getLogger(AnnouncementHandler.class);
   private static final Duration TIMEOUT = Duration.ofSeconds(2);
@@ -32,12 +32,12 @@
 
   private final ControlClient control;
 
-  /** Passes announcements on through the given client. */
+  /** Creates a handler that forwards announcements through the given client. */
   public AnnouncementHandler(ControlClient control) {
     this.control = control;
   }
 
-  /** Returns the handler of a port that takes announcements alone. */
+  /** Returns the handler of a port that accepts only announcements. */
   public HttpHandler handler() {
     return new RoutingHandler().post("/v1/announcements", this::receive);
   }
@@ -81,7 +81,7 @@
     if (!address.matches("[0-9a-fA-F.:]+") || port < 1 || port > 65_535) {
       throw AlderyardException.notRun(
           ErrorCode.BAD_REQUEST,
-          "address is '" + address + "' and port " + port + "; accepted: an IP number, 1 to 65535");
+          "address is '" + address + "' and port " + port + "; accepted: IP address, 1 to 65535");
     }
     return new InetSocketAddress(address, port);
   }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/api/CallerApi.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/api/CallerApi.java
@@ -21,12 +21,15 @@
 import org.alderyard.proxy.drain.RequestsInFlight;
 import org.alderyard.proxy.statement.StatementService;
 
-/** The callers' HTTP interface, with the announcements of backend servers on the same port. */
+/**
+ * The HTTP interface for callers, which also accepts announcements of backend servers on the same
+ * port.
+ */
 public final class CallerApi {
-  /** The header that carries the session token, both ways. */
+  /** The header that carries the session token in requests and responses. */
   public static final HttpString SESSION_HEADER = new HttpString("Alderyard-Session");
 
-  /** The header that names the caller, the scope of its request ids. */
+  /** The header that identifies the caller. Request ids are unique per caller. */
   public static final HttpString CALLER_HEADER = new HttpString("Alderyard-Caller");
 
   private static final String TRANSACTION = "/v1/pools/{pool}/transactions/{id}";
@@ -37,10 +40,13 @@
   private final AnnouncementHandler announcements;
   private final BooleanSupplier ready;
   private final RequestsInFlight inFlight;
-  private volatile boolean ending;
+  private volatile boolean closingConnections;
   private final HttpHandler metrics;
 
-  /** Creates the interface. */
+  /**
+   * Creates the interface. Requests are counted in {@code inFlight}, and {@code ready} determines
+   * the response of the readiness check.
+   */
   public CallerApi(
       HostId host,
       StatementService statements,
@@ -62,24 +68,25 @@
   public HttpHandler handler() {
     HttpHandler routes = routes();
     return exchange -> {
-      endKeptConnection(exchange);
+      disableKeepAlive(exchange);
       routes.handleRequest(exchange);
     };
   }
 
   /**
-   * Ends kept connections with their next answers; called once the port takes no new ones.
+   * Closes each keep-alive connection with its next response. Must be called after the port stops
+   * accepting connections.
    *
-   * <p>Guards against a request that a caller sends at the moment when its connection is cut: it
-   * would get no answer. While the port still takes connections a caller that is told to end its
-   * own opens a new one here, and the one that is on its way when the port closes is cut.
+   * <p>Cutting a connection would lose a request that the caller sends at the same moment. While
+   * the port still accepts connections, a caller whose connection is closed opens a new connection
+   * to this host, and a connection that is being established when the port closes is cut.
    */
   public void endConnections() {
-    ending = true;
+    closingConnections = true;
   }
 
-  private void endKeptConnection(HttpServerExchange exchange) {
-    if (ending) {
+  private void disableKeepAlive(HttpServerExchange exchange) {
+    if (closingConnections) {
       exchange.setPersistent(false);
     }
   }
@@ -88,13 +95,13 @@
     return new RoutingHandler()
         .post("/v1/pools/{pool}/statements", this::statement)
         .post("/v1/pools/{pool}/transactions", this::begin)
-        .post(TRANSACTION + "/statements", exchange -> pinned(exchange, Action.STATEMENT))
-        .post(TRANSACTION + "/commit", exchange -> pinned(exchange, Action.COMMIT))
-        .post(TRANSACTION + "/rollback", exchange -> pinned(exchange, Action.ROLLBACK))
+        .post(TRANSACTION + "/statements", exchange -> transaction(exchange, Action.STATEMENT))
+        .post(TRANSACTION + "/commit", exchange -> transaction(exchange, Action.COMMIT))
+        .post(TRANSACTION + "/rollback", exchange -> transaction(exchange, Action.ROLLBACK))
         .post("/v1/announcements", announcements::receive)
-        .get("/live", exchange -> state(exchange, true))
+        .get("/live", exchange -> sendHealth(exchange, true))
         .get("/metrics", metrics)
-        .get("/ready", exchange -> state(exchange, ready.getAsBoolean()))
+        .get("/ready", exchange -> sendHealth(exchange, ready.getAsBoolean()))
         .setFallbackHandler(
             exchange ->
                 JsonExchange.sendError(
@@ -132,8 +139,8 @@
                 () -> reply(exchange, transactions.begin(pool(exchange), body, caller(exchange)))));
   }
 
-  /** A host that shuts down still serves the rest of its open transactions. */
-  private void pinned(HttpServerExchange exchange, Action action) {
+  /** Handles a request of an open transaction, also while the host shuts down. */
+  private void transaction(HttpServerExchange exchange, Action action) {
     JsonExchange.handle(
         exchange,
         body ->
@@ -155,10 +162,10 @@
   private static CompletableFuture<JsonNode> reply(
       HttpServerExchange exchange, CompletableFuture<TransactionApi.Reply> reply) {
     return reply.thenApply(
-        done -> {
-          done.sessionToken()
+        result -> {
+          result.sessionToken()
               .ifPresent(token -> exchange.getResponseHeaders().put(SESSION_HEADER, token));
-          return done.body();
+          return result.body();
         });
   }
 
@@ -176,7 +183,7 @@
         .filter(value -> !value.isEmpty());
   }
 
-  private static void state(HttpServerExchange exchange, boolean good) {
-    JsonExchange.send(exchange, good ? 200 : 503, Json.object().put("ok", good));
+  private static void sendHealth(HttpServerExchange exchange, boolean ok) {
+    JsonExchange.send(exchange, ok ? 200 : 503, Json.object().put("ok", ok));
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/api/ForwardFailures.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/api/ForwardFailures.java
@@ -5,7 +5,10 @@
 import org.alderyard.common.error.Outcome;
 import org.alderyard.protocol.generated.forward.Action;
 
-/** What a caller is told when a request did not get through to the holder of its transaction. */
+/**
+ * Maps the failure to forward a request to the holder of its transaction to the error that the
+ * caller receives.
+ */
 final class ForwardFailures {
 
   private ForwardFailures() {}
@@ -13,16 +16,16 @@
   /**
    * Returns the error for the caller.
    *
-   * <p>A commit that did not get through may be one that is sent again after the first one did, so
-   * it is in doubt whatever broke the way.
+   * <p>A commit that fails in transit may be a resend of a commit that the holder received, so its
+   * outcome is unknown whatever the transport failure.
    */
-  static AlderyardException told(Action action, AlderyardException failure) {
-    return action == Action.COMMIT && onTheWay(failure.code())
+  static AlderyardException toCallerError(Action action, AlderyardException failure) {
+    return action == Action.COMMIT && isTransportFailure(failure.code())
         ? failure.restated(failure.code(), Outcome.OUTCOME_UNKNOWN, failure.getMessage())
         : failure;
   }
 
-  private static boolean onTheWay(ErrorCode code) {
+  private static boolean isTransportFailure(ErrorCode code) {
     return switch (code) {
       case CONNECTION_LOST, PEER_REJECTED, METHOD_NOT_SERVED, MESSAGE_DAMAGED, OVERLOADED -> true;
       default -> false;
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/api/StatementJson.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/api/StatementJson.java
@@ -21,14 +21,17 @@
 import org.alderyard.proxy.statement.StatementAnswer;
 import org.alderyard.proxy.statement.StatementRequest;
 
-/** The JSON bodies of the callers' interface. */
+/** Reads and writes the JSON bodies of the HTTP interface for callers. */
 public final class StatementJson {
   private static final long DEFAULT_DEADLINE_MILLIS = 5_000;
   private static final long MAX_DEADLINE_MILLIS = 600_000;
 
   private StatementJson() {}
 
-  /** Returns the request of a body, or a typed error that names the field at fault. */
+  /**
+   * Parses the body of a statement request. Throws {@code BAD_REQUEST}, with the name of the field,
+   * if a field is invalid.
+   */
   public static StatementRequest request(
       PoolName pool, JsonNode body, Optional<String> caller, Optional<String> token) {
     return new StatementRequest(
@@ -49,13 +52,13 @@
         deadline(body));
   }
 
-  /** Returns how long the caller of a body waits. */
+  /** Returns the time for which the caller waits for the response. */
   static Duration deadline(JsonNode body) {
     return Duration.ofMillis(
         number(body, "deadlineMillis", DEFAULT_DEADLINE_MILLIS, 1, MAX_DEADLINE_MILLIS));
   }
 
-  /** Returns the key of a body. */
+  /** Returns the key that selects the database group. */
   static String key(JsonNode body) {
     return text(body, "key");
   }
@@ -64,7 +67,7 @@
     return switch (text(body, "kind")) {
       case "read" -> StatementKind.READ;
       case "write" -> StatementKind.WRITE;
-      default -> throw wrong("kind", body.path("kind"), "\"read\" or \"write\"");
+      default -> throw invalid("kind", body.path("kind"), "\"read\" or \"write\"");
     };
   }
 
@@ -74,7 +77,7 @@
       return List.of();
     }
     if (!node.isArray()) {
-      throw wrong("parameters", node, "an array");
+      throw invalid("parameters", node, "an array");
     }
     List<JsonNode> parameters = new ArrayList<>();
     node.forEach(parameters::add);
@@ -86,7 +89,7 @@
       return Freshness.SESSION;
     }
     if (!node.isObject()) {
-      throw wrong("freshness", node, "an object");
+      throw invalid("freshness", node, "an object");
     }
     FreshnessMode mode =
         switch (node.path("mode").asText("session")) {
@@ -95,41 +98,41 @@
           case "any" -> FreshnessMode.ANY;
           case "primary" -> FreshnessMode.PRIMARY;
           default ->
-              throw wrong("freshness.mode", node.path("mode"), "session, bounded, any, primary");
+              throw invalid("freshness.mode", node.path("mode"), "session, bounded, any, primary");
         };
-    OptionalLong age =
+    OptionalLong maxStaleness =
         node.has("maxStalenessMillis")
             ? OptionalLong.of(number(node, "maxStalenessMillis", 0, 0, Integer.MAX_VALUE))
             : OptionalLong.empty();
-    return new Freshness(mode, age);
+    return new Freshness(mode, maxStaleness);
   }
 
   private static String text(JsonNode body, String field) {
     JsonNode node = body.path(field);
     if (!node.isTextual() || node.asText().isEmpty()) {
-      throw wrong(field, node, "a string that is not empty");
+      throw invalid(field, node, "a non-empty string");
     }
     return node.asText();
   }
 
-  private static long number(JsonNode body, String field, long preset, long min, long max) {
+  private static long number(JsonNode body, String field, long defaultValue, long min, long max) {
     JsonNode node = body.path(field);
     if (node.isMissingNode()) {
-      return preset;
+      return defaultValue;
     }
     if (!node.isIntegralNumber() || node.asLong() < min || node.asLong() > max) {
-      throw wrong(field, node, "a whole number from " + min + " to " + max);
+      throw invalid(field, node, "a whole number from " + min + " to " + max);
     }
     return node.asLong();
   }
 
-  private static AlderyardException wrong(String field, JsonNode value, String accepted) {
-    String shown = value.isMissingNode() ? "missing" : value.toString();
+  private static AlderyardException invalid(String field, JsonNode value, String accepted) {
+    String actual = value.isMissingNode() ? "missing" : value.toString();
     return AlderyardException.notRun(
-        ErrorCode.BAD_REQUEST, field + " is " + shown + "; accepted: " + accepted);
+        ErrorCode.BAD_REQUEST, field + " is " + actual + "; accepted: " + accepted);
   }
 
-  /** Returns the body of an answer. */
+  /** Returns the response body of a statement. */
   public static ObjectNode answer(StatementAnswer answer, HostId host) {
     ObjectNode body = Json.object();
     body.set("result", answer.result());
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/api/TransactionApi.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/api/TransactionApi.java
@@ -32,7 +32,10 @@
 import org.alderyard.proxy.view.ViewHolder;
 import org.alderyard.proxy.write.WriteAnswer;
 
-/** The requests of transactions: served here, or passed on once to the host that holds them. */
+/**
+ * Handles the requests of transactions: runs them on this host, or forwards them at most once to
+ * the host that holds the transaction.
+ */
 public final class TransactionApi {
   private static final int MAX_HOPS = 1;
 
@@ -44,7 +47,7 @@
   private final HolderLink link;
   private final RequestsInFlight inFlight;
 
-  /** Creates the interface. */
+  /** Creates the interface. Open transactions are counted in {@code inFlight}. */
   public TransactionApi(
       HostId host,
       ViewHolder views,
@@ -62,16 +65,16 @@
     this.inFlight = inFlight;
   }
 
-  /** The way to the host that holds a transaction. */
+  /** Forwards requests to the host that holds a transaction. */
   @FunctionalInterface
   public interface HolderLink {
 
-    /** Sends the request; a failure is typed. */
+    /** Sends the request. A failure of the future has an error code and an outcome. */
     CompletableFuture<ForwardReply> send(
         HostState holder, ForwardRequest request, Duration timeout);
   }
 
-  /** Opens a transaction on the group of the body's key. */
+  /** Begins a transaction on the group of the key in the body. */
   CompletableFuture<Reply> begin(PoolName poolName, byte[] body, CallerId caller) {
     JsonNode json = Json.parseObject(body);
     PoolState pool = pool(poolName);
@@ -80,7 +83,7 @@
         .begin(caller, pool, group, StatementJson.deadline(json))
         .thenApply(
             id -> {
-              // An open transaction is in flight until its end: a shutdown waits for it.
+              // An open transaction counts as in flight until it ends, so a shutdown waits for it.
               inFlight.runToTheEnd(() -> transactions.ended(id));
               return new Reply(Json.object().put("transactionId", id.toString()), Optional.empty());
             });
@@ -90,42 +93,43 @@
     return pools.require(views.current(), name);
   }
 
-  /** Serves a request of an open transaction, or passes it on to its holder. */
+  /** Runs a request of an open transaction, or forwards it to the holder of the transaction. */
   CompletableFuture<Reply> request(ForwardRequest request) {
     TransactionId id = TransactionId.parse(request.getTransactionId());
     if (transactions.holds(id)) {
-      return local(id, request);
+      return runLocally(id, request);
     }
     if (request.getHops() >= MAX_HOPS) {
-      throw holderGone(id, request.getAction());
+      throw holderLostError(id, request.getAction());
     }
     Optional<HostState> holder =
         Optional.ofNullable(views.current().hosts().get(id.holder()))
             .filter(state -> state.incarnation() == id.incarnation() && !state.id().equals(host));
-    return forward(holder.orElseThrow(() -> holderGone(id, request.getAction())), request);
+    return forward(holder.orElseThrow(() -> holderLostError(id, request.getAction())), request);
   }
 
   /**
-   * Returns the error of a transaction whose holder died.
+   * Returns the error for a transaction whose holder has stopped or restarted.
    *
-   * <p>NOT_RUN holds for a statement and a rollback: the server drops what the connections of a
-   * dead process held, and this request was given to nobody. A commit may be one that is sent
-   * again, and the dead holder may have passed the first one on.
+   * <p>The outcome of a statement or a rollback is NOT_RUN: the server discards the transactions of
+   * a stopped process, and this request was not forwarded. A commit may be a resend, and the
+   * stopped holder may have sent the first attempt to the server.
    */
-  private static AlderyardException holderGone(TransactionId id, Action action) {
-    String text = "host " + id.holder() + " that held transaction " + id + " is gone";
+  private static AlderyardException holderLostError(TransactionId id, Action action) {
+    String message =
+        "host " + id.holder() + ", which held transaction " + id + ", has stopped or restarted";
     return action == Action.COMMIT
-        ? AlderyardException.unknown(ErrorCode.TRANSACTION_LOST, text, null)
-        : AlderyardException.notRun(ErrorCode.TRANSACTION_LOST, text);
+        ? AlderyardException.unknown(ErrorCode.TRANSACTION_LOST, message, null)
+        : AlderyardException.notRun(ErrorCode.TRANSACTION_LOST, message);
   }
 
   private CompletableFuture<Reply> forward(HostState holder, ForwardRequest request) {
-    ForwardRequest hop = request.toBuilder().setHops(request.getHops() + 1).build();
-    return link.send(holder, hop, deadline(request))
+    ForwardRequest forwarded = request.toBuilder().setHops(request.getHops() + 1).build();
+    return link.send(holder, forwarded, deadline(request))
         .handle(
             (reply, failure) -> {
               if (failure != null) {
-                throw ForwardFailures.told(request.getAction(), Futures.typed(failure));
+                throw ForwardFailures.toCallerError(request.getAction(), Futures.typed(failure));
               }
               return new Reply(
                   Json.parseObject(reply.getBody().toByteArray()),
@@ -133,7 +137,7 @@
             });
   }
 
-  /** Serves a request that another proxy passed on. */
+  /** Runs a request that another proxy forwarded. */
   public CompletableFuture<ForwardReply> serve(ForwardRequest request) {
     return request(request)
         .thenApply(
@@ -144,7 +148,7 @@
                     .build());
   }
 
-  private CompletableFuture<Reply> local(TransactionId id, ForwardRequest request) {
+  private CompletableFuture<Reply> runLocally(TransactionId id, ForwardRequest request) {
     return switch (request.getAction()) {
       case STATEMENT -> statement(id, request);
       case COMMIT -> commit(id, request);
@@ -152,10 +156,10 @@
           transactions
               .rollback(id, new CallerId(request.getCallerId()), deadline(request))
               .thenApply(
-                  done -> new Reply(Json.object().put("rolledBack", true), Optional.empty()));
+                  ignored -> new Reply(Json.object().put("rolledBack", true), Optional.empty()));
       case UNRECOGNIZED ->
           throw AlderyardException.notRun(
-              ErrorCode.BAD_REQUEST, "action " + request.getActionValue());
+              ErrorCode.BAD_REQUEST, "unknown action " + request.getActionValue());
     };
   }
 
@@ -186,33 +190,35 @@
             });
   }
 
-  /** A transaction lives in one database: a key of another group can't be part of it. */
+  /** Rejects a key of another group, because a transaction runs in a single database. */
   private void requireGroup(TransactionId id, GroupId group) {
-    Optional<GroupId> pinned = transactions.group(id);
-    if (pinned.isPresent() && !pinned.get().equals(group)) {
-      // NOT_RUN holds: the statement was given to no connection.
+    Optional<GroupId> required = transactions.group(id);
+    if (required.isPresent() && !required.get().equals(group)) {
+      // The outcome is NOT_RUN because the statement was not sent on any connection.
       throw AlderyardException.notRun(
           ErrorCode.BAD_REQUEST,
-          "the key is of group " + group + "; accepted: keys of group " + pinned.get());
+          "the key belongs to group " + group + "; accepted: keys of group " + required.get());
     }
   }
 
   private CompletableFuture<Reply> commit(TransactionId id, ForwardRequest request) {
     PoolName pool = new PoolName(request.getPool());
     View view = views.current();
-    // Before the commit is sent: a bad token must not turn a done commit into a refusal.
+    // Validates the token before the commit is sent, so an invalid token cannot turn a completed
+    // commit into a refusal.
     SessionState session = tokens.read(request.getSessionToken(), pool, view);
     tokens.write(session, view);
     return transactions
         .commit(id, new CallerId(request.getCallerId()), deadline(request))
-        .thenApply(answer -> committed(answer, session));
+        .thenApply(answer -> commitReply(answer, session));
   }
 
-  private Reply committed(WriteAnswer answer, SessionState session) {
-    View now = views.current();
-    SessionState seen =
-        now.server(answer.server())
-            .flatMap(server -> now.group(server.group()))
+  private Reply commitReply(WriteAnswer answer, SessionState session) {
+    View currentView = views.current();
+    SessionState updatedSession =
+        currentView
+            .server(answer.server())
+            .flatMap(server -> currentView.group(server.group()))
             .map(state -> session.observe(state, answer.position()))
             .orElse(session);
     ObjectNode body = Json.object().put("committed", true);
@@ -222,7 +228,7 @@
         .put("server", answer.server().value())
         .put("term", answer.position().term())
         .put("position", answer.position().index());
-    return new Reply(body, Optional.of(tokens.write(seen, now)));
+    return new Reply(body, Optional.of(tokens.write(updatedSession, currentView)));
   }
 
   private static Duration deadline(ForwardRequest request) {
@@ -231,10 +237,10 @@
   }
 
   /**
-   * The answer to a request of a transaction.
+   * The response to a request of a transaction.
    *
    * @param body the JSON body
-   * @param sessionToken the token for the caller's next request, if it changed
+   * @param sessionToken the token for the caller's next request, or empty if it is unchanged
    */
   record Reply(JsonNode body, Optional<String> sessionToken) {}
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/api/package-info.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/api/package-info.java
@@ -1,2 +1,2 @@
-/** The callers' HTTP interface. */
+/** The HTTP interface for callers. */
 package org.alderyard.proxy.api;
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/api/ForwardFailuresTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/api/ForwardFailuresTest.java
@@ -10,10 +10,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Guards against a commit that is said not to have run, since its second sending got nowhere. */
+/**
+ * Guards against reporting a commit as not run when the first attempt reached the holder and only
+ * the resend failed in transit.
+ */
 class ForwardFailuresTest {
-  private static Outcome told(Action action, ErrorCode code) {
-    return ForwardFailures.told(action, AlderyardException.notRun(code, "m")).outcome();
+  private static Outcome callerOutcome(Action action, ErrorCode code) {
+    return ForwardFailures.toCallerError(action, AlderyardException.notRun(code, "m")).outcome();
   }
 
   @ParameterizedTest
@@ -25,13 +28,13 @@
         "MESSAGE_DAMAGED",
         "OVERLOADED"
       })
-  void commitThatDidNotGetThroughIsInDoubt(ErrorCode code) {
-    assertThat(told(Action.COMMIT, code)).isEqualTo(Outcome.OUTCOME_UNKNOWN);
-    assertThat(told(Action.STATEMENT, code)).isEqualTo(Outcome.NOT_RUN);
+  void commitWithTransportFailureHasUnknownOutcome(ErrorCode code) {
+    assertThat(callerOutcome(Action.COMMIT, code)).isEqualTo(Outcome.OUTCOME_UNKNOWN);
+    assertThat(callerOutcome(Action.STATEMENT, code)).isEqualTo(Outcome.NOT_RUN);
   }
 
   @Test
-  void holdersWordOnCommitStays() {
-    assertThat(told(Action.COMMIT, ErrorCode.TRANSACTION_LOST)).isEqualTo(Outcome.NOT_RUN);
+  void outcomeReportedByHolderIsKept() {
+    assertThat(callerOutcome(Action.COMMIT, ErrorCode.TRANSACTION_LOST)).isEqualTo(Outcome.NOT_RUN);
   }
 }
