--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/drain/RequestsInFlight.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/drain/RequestsInFlight.java
@@ -6,9 +6,9 @@
 import org.alderyard.common.error.ErrorCode;
 
 /**
- * Counts the requests that this proxy has taken, and ends the taking of new ones.
+ * Counts the requests in flight on this proxy and refuses new requests while the proxy drains.
  *
- * <p>Thread-safe; its own lock is a leaf.
+ * <p>Thread-safe. No other lock is acquired while the lock of this object is held.
  */
 public final class RequestsInFlight {
   private static final long RETRY_AFTER_MILLIS = 100;
@@ -18,43 +18,46 @@
   private int count;
   private boolean draining;
 
-  /** Runs a caller's request; while draining it is refused as {@code NOT_RUN}. */
+  /**
+   * Runs a request of a caller. Throws {@code DRAINING} with the outcome {@code NOT_RUN} while
+   * draining.
+   */
   public <T> CompletableFuture<T> run(Supplier<CompletableFuture<T>> request) {
     synchronized (this) {
       if (draining) {
-        // NOT_RUN holds: the request was looked at by nobody but this counter.
+        // The outcome is NOT_RUN because no processing of the request has started.
         throw AlderyardException.notRun(
             ErrorCode.DRAINING,
-            "this host is shutting down; others serve the pool",
+            "this host is shutting down; other hosts serve the pool",
             RETRY_AFTER_MILLIS);
       }
       count++;
     }
-    return counted(request);
+    return track(request);
   }
 
   /**
-   * Runs a request that must end here, also while draining: the work of another proxy that holds
-   * this one for the owner, or the rest of an open transaction.
+   * Runs a request that only this host can complete, also while draining: a request from another
+   * proxy that considers this host the owner, or a request of an open transaction.
    */
   public <T> CompletableFuture<T> runToTheEnd(Supplier<CompletableFuture<T>> request) {
     synchronized (this) {
       count++;
     }
-    return counted(request);
+    return track(request);
   }
 
-  private <T> CompletableFuture<T> counted(Supplier<CompletableFuture<T>> request) {
+  private <T> CompletableFuture<T> track(Supplier<CompletableFuture<T>> request) {
     CompletableFuture<T> result;
     try {
       result = request.get();
     } catch (RuntimeException failure) {
       result = CompletableFuture.failedFuture(failure);
     }
-    return result.whenComplete((value, failure) -> ended());
+    return result.whenComplete((value, failure) -> requestEnded());
   }
 
-  private void ended() {
+  private void requestEnded() {
     boolean last;
     synchronized (this) {
       count--;
@@ -65,7 +68,7 @@
     }
   }
 
-  /** Ends the taking of new requests; the future is done once none is in flight. */
+  /** Stops accepting new requests. The future completes when no request is in flight. */
   public CompletableFuture<Void> drain() {
     boolean idle;
     synchronized (this) {
@@ -83,7 +86,7 @@
     return draining;
   }
 
-  /** Returns how many requests are in flight. */
+  /** Returns the number of requests in flight. */
   public synchronized int count() {
     return count;
   }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/drain/package-info.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/drain/package-info.java
@@ -1,2 +1,2 @@
-/** The end of a proxy: no new work, and what is in flight may end. */
+/** Graceful shutdown of a proxy: new requests are refused and requests in flight complete. */
 package org.alderyard.proxy.drain;
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/drain/RequestsInFlightTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/drain/RequestsInFlightTest.java
@@ -9,22 +9,23 @@
 import org.alderyard.common.error.Outcome;
 import org.junit.jupiter.api.Test;
 
-/** A proxy that shuts down takes no new request and cuts none off. */
+/** Tests that a proxy that shuts down refuses new requests and completes the requests in flight. */
 class RequestsInFlightTest {
   private final RequestsInFlight inFlight = new RequestsInFlight();
 
   /**
-   * An operator restarts a proxy while two orders are in flight, one of them passed on by another
-   * proxy. The shutdown waits for both; an order that comes meanwhile is told that it did not run.
+   * Two requests are in flight when a proxy shuts down, one of them forwarded by another proxy. The
+   * shutdown waits for both, and a request that arrives during the shutdown is refused as {@code
+   * NOT_RUN}.
    */
   @Test
-  void drainWaitsForWhatIsInFlightAndRefusesTheRest() {
-    CompletableFuture<String> own = new CompletableFuture<>();
-    CompletableFuture<String> passedOn = new CompletableFuture<>();
-    inFlight.run(() -> own);
+  void drainWaitsForRequestsInFlightAndRefusesNewRequests() {
+    CompletableFuture<String> local = new CompletableFuture<>();
+    CompletableFuture<String> forwarded = new CompletableFuture<>();
+    inFlight.run(() -> local);
 
     final CompletableFuture<Void> drained = inFlight.drain();
-    inFlight.runToTheEnd(() -> passedOn);
+    inFlight.runToTheEnd(() -> forwarded);
     AlderyardException refused =
         assertThrows(
             AlderyardException.class,
@@ -33,15 +34,18 @@
     assertThat(refused.code()).isEqualTo(ErrorCode.DRAINING);
     assertThat(refused.outcome()).isEqualTo(Outcome.NOT_RUN);
     assertThat(refused.retryAfterMillis().isPresent()).isTrue();
-    own.complete("done");
+    local.complete("done");
     assertThat(drained.isDone()).isFalse();
-    passedOn.completeExceptionally(new IllegalStateException("failed is ended too"));
+    forwarded.completeExceptionally(new IllegalStateException("failed is ended too"));
     assertThat(drained.isDone()).isTrue();
   }
 
-  /** A request that fails before it starts is counted down as well: the drain would hang on it. */
+  /**
+   * A request that throws before it starts must also be removed from the count, or the drain would
+   * never complete.
+   */
   @Test
-  void requestThatThrowsIsNotLeftInFlight() {
+  void requestThatThrowsIsNotCountedAsInFlight() {
     inFlight.run(
         () -> {
           throw new IllegalStateException("wrong");
