--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/api/TransactionApi.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/api/TransactionApi.java
@@ -24,7 +24,7 @@
 import org.alderyard.proxy.drain.RequestsInFlight;
 import org.alderyard.proxy.session.SessionState;
 import org.alderyard.proxy.session.SessionTokens;
-import org.alderyard.proxy.statement.GroupOfKey;
+import org.alderyard.proxy.statement.GroupSelector;
 import org.alderyard.proxy.statement.StatementRequest;
 import org.alderyard.proxy.transaction.TransactionId;
 import org.alderyard.proxy.transaction.TransactionService;
@@ -78,7 +78,7 @@
   CompletableFuture<Reply> begin(PoolName poolName, byte[] body, CallerId caller) {
     JsonNode json = Json.parseObject(body);
     PoolState pool = pool(poolName);
-    GroupId group = GroupOfKey.of(pool, StatementJson.key(json));
+    GroupId group = GroupSelector.groupOf(pool, StatementJson.key(json));
     return transactions
         .begin(caller, pool, group, StatementJson.deadline(json))
         .thenApply(
@@ -171,7 +171,7 @@
             Json.parseObject(request.getBody().toByteArray()),
             Optional.of(request.getCallerId()),
             Optional.empty());
-    requireGroup(id, GroupOfKey.of(pool(pool), statement.key()));
+    requireGroup(id, GroupSelector.groupOf(pool(pool), statement.key()));
     BackendStatement inTransaction =
         new BackendStatement(
             statement.kind(),
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/statement/GroupOfKey.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/statement/GroupSelector.java
@@ -5,13 +5,16 @@
 import org.alderyard.common.view.PoolState;
 import org.apache.commons.codec.digest.MurmurHash3;
 
-/** Maps a key to one of the groups of a pool: the same on every proxy, by rendezvous hashing. */
-public final class GroupOfKey {
+/**
+ * Maps a key to a database group of a pool by rendezvous hashing. The mapping is the same on every
+ * proxy.
+ */
+public final class GroupSelector {
 
-  private GroupOfKey() {}
+  private GroupSelector() {}
 
-  /** Returns the group that holds the key. */
-  public static GroupId of(PoolState pool, String key) {
+  /** Returns the group that holds the key, or null if the pool has no groups. */
+  public static GroupId groupOf(PoolState pool, String key) {
     GroupId best = null;
     long bestScore = Long.MIN_VALUE;
     for (GroupId group : pool.groups()) {
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/statement/StatementAnswer.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/statement/StatementAnswer.java
@@ -8,14 +8,15 @@
 import org.alderyard.common.id.ServerId;
 
 /**
- * The answer to a statement, and where it came from.
+ * The answer to a statement, with its source.
  *
  * @param result the server's result, a JSON value
  * @param group the database group that holds the key
  * @param server the server that answered
- * @param position the position that a read shows, or that a write got
+ * @param position the position of the data that a read returned, or the position of a write
  * @param replica whether a replica answered
- * @param ageMillis the bound of the age of the data; empty when none was asked for or known
+ * @param ageMillis the upper bound of the age of the data, in milliseconds; empty if the bound was
+ *     not requested or is unknown
  * @param sessionToken the token for the caller's next request
  */
 public record StatementAnswer(
@@ -27,7 +28,7 @@
     OptionalLong ageMillis,
     String sessionToken) {
 
-  /** Checks. */
+  /** Validates the components. */
   public StatementAnswer {
     Objects.requireNonNull(result);
     Objects.requireNonNull(group);
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/statement/StatementRequest.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/statement/StatementRequest.java
@@ -15,17 +15,18 @@
 /**
  * A caller's statement.
  *
- * @param pool the pool that it addresses
- * @param key the key that chooses the database group
- * @param kind whether it may change data
- * @param text the statement
- * @param parameters its parameters, JSON values
- * @param freshness what a read asks of its data
- * @param caller who asks, the scope of request ids
- * @param requestId the name of the request, so that a resend runs at most once
- * @param requestedAtMillis when the caller first sent it, in milliseconds since 1970, if it says so
- * @param sessionToken the token that the caller got last
- * @param timeout how long the caller waits
+ * @param pool the pool that the statement addresses
+ * @param key the key that selects the database group
+ * @param kind whether the statement may change data
+ * @param text the text of the statement
+ * @param parameters the parameters of the statement, JSON values
+ * @param freshness the freshness that a read requires
+ * @param caller the caller, the scope of request ids
+ * @param requestId the id of the request, which ensures that a resend runs at most once
+ * @param requestedAtMillis the time at which the caller first sent the request, in milliseconds
+ *     since 1970, if given
+ * @param sessionToken the token that the caller received last
+ * @param timeout the time for which the caller waits
  */
 public record StatementRequest(
     PoolName pool,
@@ -40,7 +41,7 @@
     Optional<String> sessionToken,
     Duration timeout) {
 
-  /** Checks and copies. */
+  /** Validates the components and copies the parameters. */
   public StatementRequest {
     Objects.requireNonNull(pool);
     Objects.requireNonNull(key);
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/statement/StatementService.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/statement/StatementService.java
@@ -28,9 +28,9 @@
 import org.alderyard.proxy.view.ViewHolder;
 import org.alderyard.proxy.write.WriteRequest;
 
-/** Runs a caller's single statement. */
+/** Runs single statements of callers, outside of transactions. */
 public final class StatementService {
-  private static final long POOL_LIMIT_RETRY_MILLIS = 50;
+  private static final long POOL_LIMIT_RETRY_AFTER_MILLIS = 50;
 
   private final ViewHolder views;
   private final KnownPools pools;
@@ -58,28 +58,28 @@
     this.monitor = monitor;
   }
 
-  /** Runs a statement; a failure is a typed error that tells the outcome. */
+  /** Runs a statement. A failure carries an error code and an outcome. */
   public CompletableFuture<StatementAnswer> run(StatementRequest request) {
     View view = views.current();
     PoolState pool = pools.require(view, request.pool());
     GroupState group =
-        view.group(GroupOfKey.of(pool, request.key()))
+        view.group(GroupSelector.groupOf(pool, request.key()))
             .orElseThrow(
                 () ->
                     AlderyardException.notRun(
-                        ErrorCode.NO_ELIGIBLE_SERVER, "the key's group is not known"));
+                        ErrorCode.NO_ELIGIBLE_SERVER, "the database group of the key is unknown"));
     monitor.used(group.id());
     SessionState session = tokens.read(request.sessionToken().orElse(""), request.pool(), view);
-    return withinPoolLimit(request, view, pool, group, session);
+    return runWithinPoolLimit(request, view, pool, group, session);
   }
 
-  private CompletableFuture<StatementAnswer> withinPoolLimit(
+  private CompletableFuture<StatementAnswer> runWithinPoolLimit(
       StatementRequest request, View view, PoolState pool, GroupState group, SessionState session) {
     if (!poolLimits.tryAcquire(pool)) {
       throw AlderyardException.notRun(
           ErrorCode.OVERLOADED,
-          "pool " + pool.name() + " runs " + pool.maxConcurrentStatements() + " statements already",
-          POOL_LIMIT_RETRY_MILLIS);
+          "pool " + pool.name() + " already runs " + pool.maxConcurrentStatements() + " statements",
+          POOL_LIMIT_RETRY_AFTER_MILLIS);
     }
     CompletableFuture<StatementAnswer> result;
     try {
@@ -126,10 +126,10 @@
   private CompletableFuture<StatementAnswer> write(
       StatementRequest request, View view, PoolState pool, GroupState group, SessionState session) {
     if (view.keys().isEmpty()) {
-      // NOT_RUN holds: refused before the write is sent. Found out after it, the write would have
-      // run, and the lack of a token would be told as a refusal.
+      // The write is refused before it is sent, so its outcome is NOT_RUN. If the missing keys were
+      // detected afterwards, a write that ran would be reported as refused.
       throw AlderyardException.notRun(
-          ErrorCode.NO_ELIGIBLE_SERVER, "no ticket with token keys is in force yet");
+          ErrorCode.NO_ELIGIBLE_SERVER, "no change ticket with token keys is in effect yet");
     }
     WriteRequest write =
         new WriteRequest(
@@ -157,24 +157,28 @@
 
   private StatementAnswer answer(
       StatementRequest request, ReadAnswer read, GroupState group, SessionState session) {
-    Position shown = read.answer().position();
+    Position position = read.answer().position();
     FreshnessMode mode = request.freshness().mode();
-    // Only these promise that the next read is not older: others would drive it to the primary.
-    boolean raisesSession = mode == FreshnessMode.SESSION || mode == FreshnessMode.PRIMARY;
+    // Only these modes guarantee monotonic reads. Updating the session in the other modes would
+    // route the next read to the primary.
+    boolean updatesSession = mode == FreshnessMode.SESSION || mode == FreshnessMode.PRIMARY;
     return new StatementAnswer(
         read.answer().result(),
         group.id(),
         read.server().id(),
-        shown,
+        position,
         read.replica(),
         read.ageMillis(),
-        raisesSession ? tokenAfter(session, group, shown) : tokens.write(session, views.current()));
+        updatesSession ? tokenAfter(session, group, position) : tokens.write(session, views.current()));
   }
 
-  /** The view may have moved on since the request came, and a write is run by the newest one. */
+  /**
+   * Returns the session token with the observed position. Uses the newest view, because the view
+   * may have changed since the request arrived and writes run with the newest view.
+   */
   private String tokenAfter(SessionState session, GroupState group, Position seen) {
-    View now = views.current();
-    GroupState newest = now.group(group.id()).orElse(group);
-    return tokens.write(session.observe(newest, seen), now);
+    View currentView = views.current();
+    GroupState newest = currentView.group(group.id()).orElse(group);
+    return tokens.write(session.observe(newest, seen), currentView);
   }
 }
