--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/lease/PeakWish.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/lease/PeakWish.java
@@ -32,6 +32,6 @@
 
   @Override
   public int wanted(ServerId server, PoolUse use) {
-    return use.peakInUse() + use.waiting() + queued.applyAsInt(server) + HEADROOM;
+    return use.peakInUse() + use.queuedRequests() + queued.applyAsInt(server) + HEADROOM;
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/ServerGate.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/ServerGate.java
@@ -16,7 +16,7 @@
  *
  * <p>Writes are started before reads, because only the primary can run them. At a primary, reads
  * leave one slot free for writes, unless the limit is 1, and only a few of them may queue; {@link
- * #readRoom()} tells a router how many.
+ * #readRoom()} returns the remaining number.
  *
  * <p>Not thread-safe; {@link Gates} provides the locking.
  *
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/pool/PoolUse.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/pool/PoolUse.java
@@ -5,9 +5,9 @@
  *
  * @param open the number of connections that are open or being opened
  * @param peakInUse the maximum number of connections in use or being opened since the last call
- * @param waiting the number of queued requests for a connection
+ * @param queuedRequests the number of queued requests for a connection
  */
-public record PoolUse(int open, int peakInUse, int waiting) {
+public record PoolUse(int open, int peakInUse, int queuedRequests) {
   /** The use of a server without connections. */
   public static final PoolUse NONE = new PoolUse(0, 0, 0);
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/statement/StatementService.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/statement/StatementService.java
@@ -169,7 +169,9 @@
         position,
         read.replica(),
         read.ageMillis(),
-        updatesSession ? tokenAfter(session, group, position) : tokens.write(session, views.current()));
+        updatesSession
+            ? tokenAfter(session, group, position)
+            : tokens.write(session, views.current()));
   }
 
   /**
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/drain/RequestsInFlightTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/drain/RequestsInFlightTest.java
@@ -36,7 +36,7 @@
     assertThat(refused.retryAfterMillis().isPresent()).isTrue();
     local.complete("done");
     assertThat(drained.isDone()).isFalse();
-    forwarded.completeExceptionally(new IllegalStateException("failed is ended too"));
+    forwarded.completeExceptionally(new IllegalStateException("a failed request also ends"));
     assertThat(drained.isDone()).isTrue();
   }
 
