--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/api/CallerApi.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/api/CallerApi.java
@@ -163,7 +163,8 @@
       HttpServerExchange exchange, CompletableFuture<TransactionApi.Reply> reply) {
     return reply.thenApply(
         result -> {
-          result.sessionToken()
+          result
+              .sessionToken()
               .ifPresent(token -> exchange.getResponseHeaders().put(SESSION_HEADER, token));
           return result.body();
         });
