--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/pool/BusyMeter.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/pool/TimeWeightedMean.java
@@ -2,31 +2,31 @@
 
 import org.alderyard.common.time.MonotonicClock;
 
-/** The mean over time of a number that changes now and then. Not safe for several threads. */
-final class BusyMeter {
+/** Computes the time-weighted mean of a value that changes over time. Not thread-safe. */
+final class TimeWeightedMean {
   private final MonotonicClock clock;
   private long sinceNanos;
   private long changedNanos;
   private int current;
   private double sum;
 
-  BusyMeter(MonotonicClock clock) {
+  TimeWeightedMean(MonotonicClock clock) {
     this.clock = clock;
     this.sinceNanos = clock.nowNanos();
     this.changedNanos = sinceNanos;
   }
 
-  /** The number is another one from now on. */
-  void changed(int number) {
+  /** Sets the value that applies from now on. */
+  void update(int value) {
     long now = clock.nowNanos();
     sum += (double) current * (now - changedNanos);
     changedNanos = now;
-    current = number;
+    current = value;
   }
 
-  /** Returns the mean since the last call. */
+  /** Returns the mean since the last call, and starts a new window. */
   double takeMean() {
-    changed(current);
+    update(current);
     long spanNanos = changedNanos - sinceNanos;
     double mean = spanNanos > 0 ? sum / spanNanos : current;
     sinceNanos = changedNanos;
