--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/AnswerTrack.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/AnswerTrack.java
@@ -2,35 +2,32 @@
 
 import java.util.concurrent.TimeUnit;
 
-/**
- * How something that is asked, a backend server or another host, has answered this host of late.
- * Not safe for several threads.
- */
+/** Recent response times and failures of a backend server or another host. Not thread-safe. */
 class AnswerTrack {
-  /** The weight of a new latency in the average: about the last ten answers count. */
+  /** Weight of a new latency in the moving average; about the last ten responses count. */
   private static final double LATENCY_WEIGHT = 0.1;
 
-  /** One that failed is left alone this long at first, and twice as long each time. */
-  private static final long FIRST_PAUSE_MILLIS = 200;
+  /** Initial backoff after a failure; each further failure doubles it. */
+  private static final long INITIAL_BACKOFF_MILLIS = 200;
 
-  private static final long MAX_PAUSE_MILLIS = 1_600;
+  private static final long MAX_BACKOFF_MILLIS = 1_600;
 
   private int inFlight;
   private double latencyMillis;
   private int failures;
   private long firstFailureNanos;
-  private long pausedUntilNanos;
-  private boolean paused;
+  private long backoffUntilNanos;
+  private boolean backingOff;
   private long lastAnswerNanos;
   private boolean answered;
 
   /**
-   * Creates a track of something that was not asked yet.
+   * Creates a tracker without observations.
    *
-   * @param firstLatencyMillis what an answer is believed to take until one came
+   * @param initialLatencyMillis the assumed latency until the first response
    */
-  AnswerTrack(double firstLatencyMillis) {
-    this.latencyMillis = firstLatencyMillis;
+  AnswerTrack(double initialLatencyMillis) {
+    this.latencyMillis = initialLatencyMillis;
   }
 
   void started() {
@@ -38,13 +35,13 @@
   }
 
   /**
-   * An answer came.
+   * Records a response.
    *
-   * @param ran whether its time tells how fast work is done there
+   * @param ran whether the response time reflects the processing speed of the peer
    */
   void answered(long nowNanos, long tookNanos, boolean ran) {
     failures = 0;
-    paused = false;
+    backingOff = false;
     answered = true;
     lastAnswerNanos = nowNanos;
     if (ran) {
@@ -57,44 +54,48 @@
     inFlight--;
   }
 
-  /** A connection could not be opened, broke, or gave no answer in time. */
+  /** Records that a connection could not be opened, broke, or timed out. */
   void failed(long nowNanos) {
     if (failures == 0) {
       firstFailureNanos = nowNanos;
     }
-    if (paused && nowNanos - pausedUntilNanos < 0) {
+    if (backingOff && nowNanos - backoffUntilNanos < 0) {
       failures = Math.max(1, failures);
       return;
     }
-    long pauseMillis = Math.min(MAX_PAUSE_MILLIS, FIRST_PAUSE_MILLIS << Math.min(failures, 4));
+    long backoffMillis =
+        Math.min(MAX_BACKOFF_MILLIS, INITIAL_BACKOFF_MILLIS << Math.min(failures, 4));
     failures++;
-    paused = true;
-    pausedUntilNanos = nowNanos + TimeUnit.MILLISECONDS.toNanos(pauseMillis);
+    backingOff = true;
+    backoffUntilNanos = nowNanos + TimeUnit.MILLISECONDS.toNanos(backoffMillis);
   }
 
-  /** An answer was lost; only a question that takes no slot tells whether the server is. */
-  void doubted(long nowNanos) {
+  /**
+   * Records a lost response without starting a backoff. Only a probe that takes no slot can show
+   * whether the server is available.
+   */
+  void responseLost(long nowNanos) {
     if (failures == 0) {
       firstFailureNanos = nowNanos;
       failures = 1;
     }
   }
 
-  /** Returns for how long no answer came although some were waited for; 0 if the last one came. */
+  /** Returns how long requests have gone unanswered, or 0 if the last one was answered. */
   long silentNanos(long nowNanos) {
     return failures == 0 ? 0 : nowNanos - (answered ? lastAnswerNanos : firstFailureNanos);
   }
 
   boolean paused(long nowNanos) {
-    return paused && nowNanos - pausedUntilNanos < 0;
+    return backingOff && nowNanos - backoffUntilNanos < 0;
   }
 
-  boolean failing() {
+  boolean isFailing() {
     return failures > 0;
   }
 
-  /** Returns whether it has answered at all. */
-  boolean answeredEver() {
+  /** Returns whether the peer has responded at least once. */
+  boolean hasAnswered() {
     return answered;
   }
 
@@ -102,7 +103,7 @@
     return inFlight;
   }
 
-  /** Returns how long a statement is expected to take here. */
+  /** Returns the expected duration of a statement, given the requests in flight. */
   double expectedMillis() {
     return latencyMillis * (1 + inFlight);
   }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/GroupRouting.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/GroupRouting.java
@@ -20,46 +20,55 @@
 import org.alderyard.proxy.callersession.WaitingStatements.Need;
 
 /**
- * Where the statements of one group go, by what its servers have shown this host.
+ * Routing state of one database group: ranks its servers by what this host has observed of them.
  *
- * <p>Pure but for its tables. Lock: the object itself, a leaf; those that wait are woken after it
- * is released.
+ * <p>Performs no I/O and reads no clock. Locking: the instance monitor is a leaf lock; queued
+ * statements are notified after it is released.
  */
 final class GroupRouting {
-  /** What a hop to another availability zone counts as: its way there and back, and its price. */
-  private static final double OTHER_ZONE_MILLIS = 6;
+  /**
+   * Penalty for a server in another availability zone: the round trip and the cost of the traffic.
+   */
+  private static final double OTHER_ZONE_PENALTY_MILLIS = 6;
 
   /**
-   * Reads keep away from the primary, which alone can write, unless replicas are this much slower.
+   * Penalty for reads on the primary. Only the primary can run writes, so reads use a replica
+   * unless replicas are slower by more than this.
    */
-  private static final double PRIMARY_MILLIS = 10;
+  private static final double PRIMARY_PENALTY_MILLIS = 10;
 
-  /** A replica that probably lacks the position would refuse; the primary surely holds it. */
-  private static final double LACKS_MILLIS = 500;
+  /**
+   * Penalty for a replica that probably lacks the position and would refuse the read; the primary
+   * certainly holds it.
+   */
+  private static final double MISSING_POSITION_PENALTY_MILLIS = 500;
 
-  /** An expired server may still serve this host; others come first. */
-  private static final double EXPIRED_MILLIS = 1_000;
+  /**
+   * Penalty for an expired server, which may still serve this host; other servers are preferred.
+   */
+  private static final double EXPIRED_PENALTY_MILLIS = 1_000;
 
-  private static final double PAUSED_MILLIS = 100_000;
+  private static final double BACKOFF_PENALTY_MILLIS = 100_000;
 
   /**
-   * Shorter than the shortest time for which a leaving server goes on serving, 7 s, by a margin.
+   * How long a leaving primary is still used. Shorter, by a margin, than the minimum time for which
+   * a leaving server keeps serving, 7 s.
    */
-  private static final long LEAVING_PRIMARY_NANOS = TimeUnit.SECONDS.toNanos(5);
+  private static final long MAX_LEAVING_PRIMARY_NANOS = TimeUnit.SECONDS.toNanos(5);
 
-  /** How many of those that wait for a primary look again once one is known. */
-  private static final int WOKEN_BY_NEWS = 4;
+  /** Number of statements waiting for a primary that are notified when one becomes known. */
+  private static final int NOTIFIED_ON_NEW_PRIMARY = 4;
 
-  /** An answer of the primary this long ago still speaks for it. */
-  private static final long SIGHT_NANOS = TimeUnit.SECONDS.toNanos(1);
+  /** Age up to which a response of the primary still shows that it is available. */
+  private static final long RECENT_RESPONSE_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   private final ZoneName zone;
   // Guarded by this.
-  private final Map<ServerId, ServerTrack> tracks = new HashMap<>();
+  private final Map<ServerId, ServerTracker> trackers = new HashMap<>();
   private final PositionSamples samples = new PositionSamples();
-  private final Set<CompletableFuture<Void>> sampleWaiters = new LinkedHashSet<>();
-  private final WaitingStatements waiting = new WaitingStatements();
-  private final LeadBelief lead = new LeadBelief();
+  private final Set<CompletableFuture<Void>> sampleFutures = new LinkedHashSet<>();
+  private final WaitingStatements waitingStatements = new WaitingStatements();
+  private final PrimaryEstimate primaryEstimate = new PrimaryEstimate();
   private final Map<ServerId, Long> leavingSinceNanos = new HashMap<>();
 
   GroupRouting(ZoneName zone) {
@@ -67,18 +76,18 @@
   }
 
   /**
-   * A position that a read's server must hold.
+   * A position that a server must hold to run a read.
    *
    * @param position the position
-   * @param sinceNanos a time at which the primary held it
+   * @param sinceNanos a time at which the primary held the position
    */
   record Floor(Position position, long sinceNanos) {}
 
   /**
-   * Returns the position that a read of a bounded age must see.
+   * Returns the position that a read with bounded staleness must see.
    *
-   * @param own the position of the session's own last write, if it counts
-   * @return empty when no sample is young enough: only a server that leads may run the read then
+   * @param own the position of the session's last write; empty if the read need not see it
+   * @return empty if no sample is recent enough, in which case only the primary may run the read
    */
   synchronized Optional<Floor> floor(
       long nowNanos, long wallMillis, long maxAgeNanos, Optional<Floor> own) {
@@ -86,287 +95,308 @@
     Optional<Floor> bound =
         samples
             .oldestWithin(nowNanos, maxAgeNanos)
-            .map(sample -> new Floor(sample.position(), sample.askedNanos()));
+            .map(sample -> new Floor(sample.position(), sample.requestedNanos()));
     if (bound.isEmpty() || own.isEmpty()) {
       return bound;
     }
-    // A sample of a later term covers all writes of earlier ones that were not lost with them.
+    // A sample of a later term covers every write of earlier terms that survived the change of
+    // primary.
     boolean covered = bound.get().position().compareTo(own.get().position()) >= 0;
     return covered ? bound : own;
   }
 
-  /** Returns the newest sample, for another host. */
+  /** Returns the newest sample, to be sent to another host. */
   synchronized Optional<PositionSamples.Sample> newestSample(long nowNanos, long wallMillis) {
     samples.checkClocks(nowNanos, wallMillis);
     return samples.newest();
   }
 
-  /** Returns whether the server that is believed to lead was left alone, or none is. */
-  synchronized boolean primaryOutOfReach(GroupState group, long nowNanos) {
-    return believedPrimary(group).map(tracks::get).map(t -> t.paused(nowNanos)).orElse(true);
+  /** Returns whether the presumed primary is in backoff, or no primary is known. */
+  synchronized boolean primaryUnavailable(GroupState group, long nowNanos) {
+    return presumedPrimary(group)
+        .map(trackers::get)
+        .map(tracker -> tracker.paused(nowNanos))
+        .orElse(true);
   }
 
   /**
-   * Returns for how long the server that is believed to lead has given no answer to what waits for
-   * one; the longest time where nobody is believed to lead, and empty where it answers.
+   * Returns how long requests to the presumed primary have gone unanswered: {@code Long.MAX_VALUE}
+   * if no primary is known, empty if the primary answers.
    */
   synchronized OptionalLong primaryLostNanos(GroupState group, long nowNanos) {
-    Optional<ServerId> believed = believedPrimary(group);
-    if (believed.isEmpty()) {
+    Optional<ServerId> presumed = presumedPrimary(group);
+    if (presumed.isEmpty()) {
       return OptionalLong.of(Long.MAX_VALUE);
     }
-    ServerTrack track = tracks.get(believed.get());
-    return track == null || !track.failing()
+    ServerTracker tracker = trackers.get(presumed.get());
+    return tracker == null || !tracker.isFailing()
         ? OptionalLong.empty()
-        : OptionalLong.of(track.silentNanos(nowNanos));
+        : OptionalLong.of(tracker.silentNanos(nowNanos));
   }
 
-  /** Returns how long ago the newest sample was asked. */
+  /** Returns the age of the newest sample, measured from the time of its request. */
   synchronized Optional<Long> newestSampleAgeNanos(long nowNanos) {
-    return samples.newest().map(sample -> nowNanos - sample.askedNanos());
+    return samples.newest().map(sample -> nowNanos - sample.requestedNanos());
   }
 
-  /** Takes a position that came with a proof that the server leads. */
-  void sampled(long askedNanos, Position position) {
-    List<CompletableFuture<Void>> waiting;
+  /** Adds a position that came with a proof that the server is the primary. */
+  void sampled(long requestedNanos, Position position) {
+    List<CompletableFuture<Void>> futures;
     synchronized (this) {
-      samples.add(askedNanos, position);
-      waiting = List.copyOf(sampleWaiters);
-      sampleWaiters.clear();
+      samples.add(requestedNanos, position);
+      futures = List.copyOf(sampleFutures);
+      sampleFutures.clear();
     }
-    waiting.forEach(waiter -> waiter.complete(null));
+    futures.forEach(future -> future.complete(null));
   }
 
-  /** Returns a future that is done when a sample comes, or when the time is over. */
-  CompletableFuture<Void> nextSample(long limitMillis) {
-    CompletableFuture<Void> waiter = new CompletableFuture<>();
+  /** Returns a future that completes when a sample is added or the time limit expires. */
+  CompletableFuture<Void> awaitSample(long timeoutMillis) {
+    CompletableFuture<Void> future = new CompletableFuture<>();
     synchronized (this) {
-      sampleWaiters.add(waiter);
+      sampleFutures.add(future);
     }
-    waiter.completeOnTimeout(null, limitMillis, TimeUnit.MILLISECONDS);
-    return waiter.whenComplete((done, failure) -> stopWaiting(waiter));
+    future.completeOnTimeout(null, timeoutMillis, TimeUnit.MILLISECONDS);
+    return future.whenComplete((done, failure) -> removeSampleFuture(future));
   }
 
-  private synchronized void stopWaiting(CompletableFuture<Void> waiter) {
-    sampleWaiters.remove(waiter);
+  private synchronized void removeSampleFuture(CompletableFuture<Void> future) {
+    sampleFutures.remove(future);
   }
 
-  /** Returns the servers that may run a read from the given position on, the best first. */
-  synchronized List<ServerState> readOrder(
+  /** Returns the servers that may run a read at the given floor, best first. */
+  synchronized List<ServerState> readCandidates(
       List<ServerState> servers, Optional<ServerId> primary, Floor floor, long nowNanos) {
-    record Scored(ServerState server, double millis) {}
+    record ScoredServer(ServerState server, double millis) {}
 
-    List<Scored> scored = new ArrayList<>();
+    List<ScoredServer> scored = new ArrayList<>();
     for (ServerState server : servers) {
-      ServerTrack track = track(server);
-      if (!serves(server) || track.gone()) {
+      ServerTracker tracker = tracker(server);
+      if (!acceptsWork(server) || tracker.isReplaced()) {
         continue;
       }
-      scored.add(new Scored(server, score(server, track, primary, floor, nowNanos)));
+      scored.add(new ScoredServer(server, scoreMillis(server, tracker, primary, floor, nowNanos)));
     }
-    scored.sort(Comparator.comparingDouble(Scored::millis));
-    return scored.stream().map(Scored::server).toList();
+    scored.sort(Comparator.comparingDouble(ScoredServer::millis));
+    return scored.stream().map(ScoredServer::server).toList();
   }
 
-  private double score(
+  private double scoreMillis(
       ServerState server,
-      ServerTrack track,
+      ServerTracker tracker,
       Optional<ServerId> primary,
       Floor floor,
       long nowNanos) {
-    boolean leads = primary.filter(server.id()::equals).isPresent();
-    double millis = track.expectedMillis();
-    millis += server.zone().equals(zone) ? 0 : OTHER_ZONE_MILLIS;
-    millis += leads ? PRIMARY_MILLIS : 0;
+    boolean isPrimary = primary.filter(server.id()::equals).isPresent();
+    double millis = tracker.expectedMillis();
+    millis += server.zone().equals(zone) ? 0 : OTHER_ZONE_PENALTY_MILLIS;
+    millis += isPrimary ? PRIMARY_PENALTY_MILLIS : 0;
     millis +=
-        leads || track.likelyHolds(floor.position(), nowNanos - floor.sinceNanos())
+        isPrimary || tracker.likelyHolds(floor.position(), nowNanos - floor.sinceNanos())
             ? 0
-            : LACKS_MILLIS;
-    millis += server.status() == ServerStatus.EXPIRED ? EXPIRED_MILLIS : 0;
-    millis += track.paused(nowNanos) ? PAUSED_MILLIS : 0;
+            : MISSING_POSITION_PENALTY_MILLIS;
+    millis += server.status() == ServerStatus.EXPIRED ? EXPIRED_PENALTY_MILLIS : 0;
+    millis += tracker.paused(nowNanos) ? BACKOFF_PENALTY_MILLIS : 0;
     return millis;
   }
 
   /**
-   * A server that leaves gets no new work; one that is expired may only have lost the way to us.
+   * Returns whether a server may get new work. A leaving server gets none; an expired server may
+   * only have lost its connection to this cluster.
    */
-  private static boolean serves(ServerState server) {
+  private static boolean acceptsWork(ServerState server) {
     return server.status() == ServerStatus.ACTIVE || server.status() == ServerStatus.EXPIRED;
   }
 
   /**
-   * Returns the servers to try as primary, the most likely first.
+   * Returns the servers to try as primary, most likely first.
    *
-   * <p>The view may lag behind a change of primary, or the host may be cut off from the control
-   * hosts: a server that refused as primary comes last, and one that proved the lead first.
+   * <p>The view may lag behind a change of primary, or this host may be cut off from the control
+   * hosts. A server that confirmed that it is the primary therefore comes first, and a server that
+   * refused to act as primary comes last.
    */
-  synchronized List<ServerState> primaryOrder(
+  synchronized List<ServerState> primaryCandidates(
       List<ServerState> servers, GroupState group, long nowNanos) {
-    Optional<ServerId> believed = believedPrimary(group);
+    Optional<ServerId> presumed = presumedPrimary(group);
     return servers.stream()
-        .filter(server -> server.status() != ServerStatus.GONE && !track(server).gone())
+        .filter(server -> server.status() != ServerStatus.GONE && !tracker(server).isReplaced())
         .filter(
             server ->
-                serves(server)
-                    || believed.filter(server.id()::equals).isPresent()
-                        && leftAtMost(server, nowNanos))
-        .sorted(Comparator.comparingInt(server -> primaryRank(server, believed, nowNanos)))
+                acceptsWork(server)
+                    || presumed.filter(server.id()::equals).isPresent()
+                        && withinLeavingLimit(server, nowNanos))
+        .sorted(Comparator.comparingInt(server -> primaryRank(server, presumed, nowNanos)))
         .toList();
   }
 
-  /** A primary that leaves takes writes until another is appointed, but not for long. */
-  private boolean leftAtMost(ServerState server, long nowNanos) {
+  /**
+   * A leaving primary accepts writes until its successor is appointed, but only for a limited time.
+   */
+  private boolean withinLeavingLimit(ServerState server, long nowNanos) {
     long since = leavingSinceNanos.computeIfAbsent(server.id(), id -> nowNanos);
-    return nowNanos - since <= LEAVING_PRIMARY_NANOS;
+    return nowNanos - since <= MAX_LEAVING_PRIMARY_NANOS;
   }
 
-  private int primaryRank(ServerState server, Optional<ServerId> believed, long nowNanos) {
-    if (believed.filter(server.id()::equals).isPresent()) {
+  private int primaryRank(ServerState server, Optional<ServerId> presumed, long nowNanos) {
+    if (presumed.filter(server.id()::equals).isPresent()) {
       return 0;
     }
-    if (lead.disproved(server.id())) {
+    if (primaryEstimate.isDisproved(server.id())) {
       return 3;
     }
-    return track(server).paused(nowNanos) ? 2 : 1;
+    return tracker(server).paused(nowNanos) ? 2 : 1;
   }
 
-  /** Returns the server that is believed to lead. */
-  synchronized Optional<ServerId> believedPrimary(GroupState group) {
-    return lead.believed(group);
+  /** Returns the presumed primary. */
+  synchronized Optional<ServerId> presumedPrimary(GroupState group) {
+    return primaryEstimate.presumed(group);
   }
 
   /**
-   * Returns the server that a statement for the primary goes to.
+   * Returns the server to which a statement for the primary is sent.
    *
-   * @return empty if nobody is believed to lead, or the one that is can't be asked now
+   * @return empty if no primary is known, or the presumed primary is unavailable
    */
-  synchronized Optional<ServerState> leadToAsk(
+  synchronized Optional<ServerState> availablePrimary(
       List<ServerState> servers, GroupState group, long nowNanos) {
-    Optional<ServerId> believed = believedPrimary(group);
-    return primaryOrder(servers, group, nowNanos).stream()
+    Optional<ServerId> presumed = presumedPrimary(group);
+    return primaryCandidates(servers, group, nowNanos).stream()
         .findFirst()
-        .filter(server -> believed.filter(server.id()::equals).isPresent())
-        .filter(server -> !track(server).paused(nowNanos));
+        .filter(server -> presumed.filter(server.id()::equals).isPresent())
+        .filter(server -> !tracker(server).paused(nowNanos));
   }
 
-  /** Returns whether a server is known to refuse a statement now, so that it is not asked. */
+  /** Returns whether a server is known to refuse a statement now, so that it need not be tried. */
   synchronized boolean knownToRefuse(
-      ServerState server, Optional<Floor> floor, boolean leads, long nowNanos) {
-    ServerRefusals refusals = track(server).refusals();
-    return refusals.busyNow(nowNanos)
-        || !leads && floor.filter(f -> refusals.lacks(f.position(), nowNanos)).isPresent();
-  }
-
-  /** A server took a statement that only a primary takes. */
-  void leads(ServerState server) {
-    boolean news;
+      ServerState server, Optional<Floor> floor, boolean isPrimary, long nowNanos) {
+    ServerRefusals refusals = tracker(server).refusals();
+    return refusals.isBusy(nowNanos)
+        || !isPrimary
+            && floor
+                .filter(required -> refusals.isMissing(required.position(), nowNanos))
+                .isPresent();
+  }
+
+  /** Records that a server accepted a statement that only a primary accepts. */
+  void confirmPrimary(ServerState server) {
+    boolean changed;
     synchronized (this) {
-      news = lead.leads(server.id());
+      changed = primaryEstimate.confirm(server.id());
     }
-    if (news) {
-      waiting.wake(Need.LEAD, WOKEN_BY_NEWS);
+    if (changed) {
+      waitingStatements.notifyFirst(Need.LEAD, NOTIFIED_ON_NEW_PRIMARY);
     }
   }
 
-  /** A server answered that it does not lead; returns whether it was believed to. */
+  /**
+   * Records that a server reported that it is not the primary; returns whether it was the presumed
+   * primary.
+   */
   synchronized boolean doesNotLead(ServerState server, GroupState group) {
-    return lead.doesNotLead(server.id(), group);
+    return primaryEstimate.reject(server.id(), group);
   }
 
-  /** Returns the statements that wait for something of this group. */
-  WaitingStatements waiting() {
-    return waiting;
+  /** Returns the queue of statements that wait for a server of this group. */
+  WaitingStatements waitingStatements() {
+    return waitingStatements;
   }
 
   synchronized void started(ServerState server, long nowNanos) {
-    track(server).started();
-    track(server).refusals().asked(nowNanos);
+    tracker(server).started();
+    tracker(server).refusals().recordAttempt(nowNanos);
   }
 
-  /** A statement has ended at a server, so that one that waits may find room or an answer. */
+  /**
+   * Records that a statement has ended on a server. Queued statements are notified, since a slot
+   * may be free or a suitable server may have become known.
+   */
   void ended(ServerState server) {
     synchronized (this) {
-      track(server).ended();
+      tracker(server).ended();
     }
-    waiting.wake(Need.LEAD, 1);
-    waiting.wake(Need.READ, 1);
+    waitingStatements.notifyFirst(Need.LEAD, 1);
+    waitingStatements.notifyFirst(Need.READ, 1);
   }
 
   /**
-   * A server answered.
+   * Records a response of a server.
    *
-   * @param ran whether it gave the statement a slot, so that its time tells how fast it works
-   * @param shown up to where its reads show the log
+   * @param ran whether the server assigned the statement a slot, so that the response time reflects
+   *     its processing speed
+   * @param shown the log position up to which the server's reads see the data
    */
   synchronized void answered(
       ServerState server, long nowNanos, long tookNanos, boolean ran, Optional<Position> shown) {
-    ServerTrack track = track(server);
-    track.answered(nowNanos, tookNanos, ran);
-    shown.ifPresent(track::shows);
+    ServerTracker tracker = tracker(server);
+    tracker.answered(nowNanos, tookNanos, ran);
+    shown.ifPresent(tracker::recordPosition);
   }
 
-  /** A server had no slot for a statement. */
-  synchronized void busy(ServerState server, long nowNanos) {
-    track(server).refusals().busy(nowNanos);
+  /** Records that a server had no free slot for a statement. */
+  synchronized void recordBusy(ServerState server, long nowNanos) {
+    tracker(server).refusals().recordBusy(nowNanos);
   }
 
-  /** A server lacked the position that a read needs. */
-  synchronized void lacked(ServerState server, Floor floor, long nowNanos) {
-    track(server).lacked(floor, nowNanos);
+  /** Records that a server lacked the position that a read requires. */
+  synchronized void recordMissingPosition(ServerState server, Floor floor, long nowNanos) {
+    tracker(server).recordMissingPosition(floor, nowNanos);
   }
 
   synchronized void failed(ServerState server, long nowNanos) {
-    track(server).failed(nowNanos);
+    tracker(server).failed(nowNanos);
   }
 
   /**
-   * An answer was lost on its way.
+   * Records a lost response.
    *
-   * <p>Guards against writes that stop for a while each time that one connection breaks: the
-   * primary is asked whether it is there, and left alone only when it does not answer.
+   * <p>Starts no backoff, since writes would otherwise pause each time a single connection to the
+   * primary breaks. The primary is probed instead, and backoff starts only if the probe gets no
+   * answer.
    */
   synchronized void doubted(ServerState server, long nowNanos) {
-    track(server).doubted(nowNanos);
+    tracker(server).responseLost(nowNanos);
   }
 
-  synchronized void replaced(ServerState server) {
-    track(server).replaced();
+  synchronized void recordReplaced(ServerState server) {
+    tracker(server).markReplaced();
   }
 
   /**
-   * What this host sees of the primary.
+   * The state of a primary as observed by this host.
    *
-   * @param server the server that is believed to lead
-   * @param silentMillis for how long it gave no answer to what waits for one; 0 if it answers
+   * @param server the primary named by the view
+   * @param silentMillis how long requests have gone unanswered; 0 if the server answers
    */
   record PrimarySight(ServerId server, long silentMillis) {}
 
-  /** Returns what this host sees of the primary; empty when it had no work for it lately. */
+  /**
+   * Returns the observed state of the primary; empty if this host has sent it no recent requests.
+   */
   synchronized Optional<PrimarySight> primarySight(GroupState group, long nowNanos) {
-    Optional<ServerId> believed = group.primary();
-    ServerTrack track = believed.map(tracks::get).orElse(null);
-    if (track == null) {
+    Optional<ServerId> presumed = group.primary();
+    ServerTracker tracker = presumed.map(trackers::get).orElse(null);
+    if (tracker == null) {
       return Optional.empty();
     }
-    if (track.failing()) {
-      long silentMillis = TimeUnit.NANOSECONDS.toMillis(track.silentNanos(nowNanos));
-      return Optional.of(new PrimarySight(believed.get(), Math.max(1, silentMillis)));
+    if (tracker.isFailing()) {
+      long silentMillis = TimeUnit.NANOSECONDS.toMillis(tracker.silentNanos(nowNanos));
+      return Optional.of(new PrimarySight(presumed.get(), Math.max(1, silentMillis)));
     }
-    return track.answeredWithin(nowNanos, SIGHT_NANOS)
-        ? Optional.of(new PrimarySight(believed.get(), 0))
+    return tracker.answeredWithin(nowNanos, RECENT_RESPONSE_NANOS)
+        ? Optional.of(new PrimarySight(presumed.get(), 0))
         : Optional.empty();
   }
 
-  synchronized boolean paused(ServerState server, long nowNanos) {
-    return track(server).paused(nowNanos);
+  synchronized boolean inBackoff(ServerState server, long nowNanos) {
+    return tracker(server).paused(nowNanos);
   }
 
   synchronized double latencyMillis(ServerState server) {
-    return track(server).latencyMillis();
+    return tracker(server).latencyMillis();
   }
 
-  /** Forgets servers that are no longer in the view. */
-  synchronized void keepOnly(List<ServerState> servers) {
+  /** Removes the state of servers that are no longer in the view. */
+  synchronized void retainServers(List<ServerState> servers) {
     leavingSinceNanos
         .keySet()
         .removeIf(
@@ -375,15 +405,15 @@
                     .noneMatch(
                         server ->
                             server.id().equals(id) && server.status() == ServerStatus.LEAVING));
-    tracks.keySet().removeIf(id -> servers.stream().noneMatch(server -> server.id().equals(id)));
+    trackers.keySet().removeIf(id -> servers.stream().noneMatch(server -> server.id().equals(id)));
   }
 
-  private ServerTrack track(ServerState server) {
-    ServerTrack track = tracks.get(server.id());
-    if (track == null || track.incarnation() < server.incarnation()) {
-      track = new ServerTrack(server.incarnation());
-      tracks.put(server.id(), track);
+  private ServerTracker tracker(ServerState server) {
+    ServerTracker tracker = trackers.get(server.id());
+    if (tracker == null || tracker.incarnation() < server.incarnation()) {
+      tracker = new ServerTracker(server.incarnation());
+      trackers.put(server.id(), tracker);
     }
-    return track;
+    return tracker;
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/GroupRoutings.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/GroupRoutings.java
@@ -8,11 +8,11 @@
 import org.alderyard.common.view.GroupState;
 import org.alderyard.common.view.View;
 
-/** The routings of all groups. */
+/** Routing state of all database groups. */
 final class GroupRoutings {
   private final ZoneName zone;
   private final Map<GroupId, GroupRouting> routings = new ConcurrentHashMap<>();
-  private volatile Consumer<GroupState> leadSearch = group -> {};
+  private volatile Consumer<GroupState> primarySearch = group -> {};
 
   GroupRoutings(ZoneName zone) {
     this.zone = zone;
@@ -22,24 +22,31 @@
     return routings.computeIfAbsent(group, id -> new GroupRouting(zone));
   }
 
-  /** Sets what looks for the primary of a group, for all of this host's statements together. */
+  /**
+   * Sets the callback that searches for the primary of a group on behalf of all statements of this
+   * host.
+   */
   void searchLeadBy(Consumer<GroupState> search) {
-    leadSearch = search;
+    primarySearch = search;
   }
 
-  /** A statement needs a primary, and none is known. */
-  void searchLead(GroupState group) {
-    leadSearch.accept(group);
+  /**
+   * Searches for the primary of a group, for a statement that needs one while none is available.
+   */
+  void startPrimarySearch(GroupState group) {
+    primarySearch.accept(group);
   }
 
-  /** Returns how many statements wait for something. */
+  /** Returns the number of queued statements with the given need. */
   int waiting(WaitingStatements.Need need) {
-    return routings.values().stream().mapToInt(routing -> routing.waiting().size(need)).sum();
+    return routings.values().stream()
+        .mapToInt(routing -> routing.waitingStatements().size(need))
+        .sum();
   }
 
-  /** Forgets the groups and servers that left the view. */
+  /** Removes the groups and servers that are no longer in the view. */
   void follow(View view) {
     routings.keySet().removeIf(group -> view.group(group).isEmpty());
-    routings.forEach((group, routing) -> routing.keepOnly(view.serversOf(group)));
+    routings.forEach((group, routing) -> routing.retainServers(view.serversOf(group)));
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/LocalStatements.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/LocalStatements.java
@@ -5,7 +5,7 @@
 import org.alderyard.backend.StatementKind;
 import org.alderyard.backend.session.SessionReply;
 
-/** Runs statements that stand alone over this host's own connections. */
+/** Runs statements over this host's own connections. */
 final class LocalStatements {
   private final SessionParts parts;
   private final ReadFloors floors;
@@ -24,21 +24,22 @@
   }
 
   /**
-   * Runs a statement.
+   * Runs a statement that is not part of a transaction.
    *
-   * @param written the position of the session's own last write
-   * @return never fails
+   * @param written the position of the session's last write
+   * @return a future that never completes exceptionally
    */
   CompletableFuture<SessionReply> single(StatementTask task, Optional<GroupRouting.Floor> written) {
-    CompletableFuture<ServerDemand> demand =
+    CompletableFuture<ServerDemand> futureRequirement =
         task.kind() == StatementKind.WRITE
-            ? CompletableFuture.completedFuture(ServerDemand.lead())
+            ? CompletableFuture.completedFuture(ServerDemand.primary())
             : floors
                 .floor(task.database(), written)
                 .thenApply(
-                    floor -> floor.map(ServerDemand::holding).orElseGet(ServerDemand::provedLead));
-    return demand
-        .thenCompose(known -> new StatementRun(parts, task, known).run())
+                    floor ->
+                        floor.map(ServerDemand::atFloor).orElseGet(ServerDemand::verifiedPrimary));
+    return futureRequirement
+        .thenCompose(requirement -> new StatementRun(parts, task, requirement).run())
         .thenApply(StatementRun.Result::reply);
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/Outlook.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/Outlook.java
@@ -4,110 +4,124 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What a statement that found no server may hope for, and so how long it goes on looking and when
- * its caller should come back. Pure.
+ * Decides how long a statement without a server keeps searching and when its caller should retry.
+ * Reads no clock.
  *
- * @param needsLead whether only the primary may run it
- * @param viewConfirmed whether the control hosts have confirmed this host's view of late
- * @param primaryLostNanos for how long the primary has given no answer to what waits for one, or
- *     nobody is known to lead; empty if it answers
+ * @param needsPrimary whether only the primary may run the statement
+ * @param viewConfirmed whether the control hosts have recently confirmed this host's view
+ * @param primaryUnresponsiveNanos how long requests to the primary have gone unanswered, {@code
+ *     Long.MAX_VALUE} if no primary is known; empty if the primary answers
  */
-record Outlook(boolean needsLead, boolean viewConfirmed, OptionalLong primaryLostNanos) {
-  /** What is spent of a statement's time on looking for a server; the rest is for its run. */
-  private static final double SEARCH_SHARE = 0.5;
+record Outlook(boolean needsPrimary, boolean viewConfirmed, OptionalLong primaryUnresponsiveNanos) {
+  /**
+   * Fraction of a statement's timeout that may be spent searching for a server; the rest is for
+   * running the statement.
+   */
+  private static final double SEARCH_FRACTION = 0.5;
 
-  /** What is spent of a statement's objective on waiting for a slot. */
-  private static final double OBJECTIVE_SHARE = 1;
+  /** Fraction of a statement's latency objective that may be spent waiting for a slot. */
+  private static final double OBJECTIVE_FRACTION = 1;
 
-  /** Twice the first pause after a failure: a single broken connection is over by then. */
-  private static final long SURELY_LOST_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
+  /**
+   * Time without an answer after which the primary counts as failed. Twice the initial backoff, by
+   * which time the failure of a single connection is over.
+   */
+  private static final long PRIMARY_FAILED_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
 
-  /** From the loss of a primary to its successor's first answers, in the recorded incidents. */
+  /**
+   * Time from the loss of a primary to its successor's first answers, in the recorded incidents.
+   */
   private static final long FAILOVER_MILLIS = 2_400;
 
-  /** A cut between hosts lasts for seconds, and another host may serve at once. */
+  /**
+   * Retry delay on an isolated host. A network partition lasts for seconds, and another host may
+   * serve the caller immediately.
+   */
   private static final long ISOLATED_RETRY_MILLIS = 1_000;
 
-  /** Some usual statements' time: a slot is free then. */
+  /**
+   * Retry delay if all slots are in use. A slot is free after the time of a few typical statements.
+   */
   private static final long BUSY_RETRY_MILLIS = 50;
 
   private static final long MIN_FAILOVER_RETRY_MILLIS = 100;
 
-  private boolean primaryLost() {
-    return primaryLostNanos.isPresent() && primaryLostNanos.getAsLong() >= SURELY_LOST_NANOS;
+  private boolean primaryFailed() {
+    return primaryUnresponsiveNanos.isPresent()
+        && primaryUnresponsiveNanos.getAsLong() >= PRIMARY_FAILED_NANOS;
   }
 
   /**
-   * Returns whether nothing this host waits for can come.
+   * Returns whether this host is cut off from both the control hosts and the primary.
    *
-   * <p>Guards against callers who are held on a host that is cut off from the control hosts and
-   * from the new primary: it can neither run their writes nor learn who could, and another host
-   * can.
+   * <p>Such a host can neither run writes nor discover which host can. Its callers are refused
+   * immediately and can try another host, instead of waiting for their whole timeout.
    */
   boolean hopeless() {
-    return needsLead && !viewConfirmed && primaryLost();
+    return needsPrimary && !viewConfirmed && primaryFailed();
   }
 
   /** Returns whether the search for a server ends now. */
-  boolean searchOver(long elapsedNanos, long timeNanos, long objectiveNanos) {
+  boolean isSearchOver(long elapsedNanos, long timeoutNanos, long objectiveNanos) {
     return hopeless()
-        || successorComesTooLate(timeNanos - elapsedNanos)
-        || elapsedNanos >= searchNanos(timeNanos, objectiveNanos);
+        || failoverExceedsDeadline(timeoutNanos - elapsedNanos)
+        || elapsedNanos >= searchNanos(timeoutNanos, objectiveNanos);
   }
 
   /**
-   * Returns whether a primary is lost and the next one is expected after a statement's time.
+   * Returns whether the primary has failed and its successor is expected only after the statement's
+   * deadline.
    *
-   * <p>Guards against callers who are held for nothing at the beginning of a failover: told at once
-   * when to come back, they still have time then.
+   * <p>The caller is then refused at the beginning of the failover and still has time to retry
+   * after it.
    */
-  private boolean successorComesTooLate(long leftNanos) {
-    return needsLead
-        && primaryLost()
-        && TimeUnit.MILLISECONDS.toNanos(failoverLeftMillis()) > leftNanos;
+  private boolean failoverExceedsDeadline(long remainingNanos) {
+    return needsPrimary
+        && primaryFailed()
+        && TimeUnit.MILLISECONDS.toNanos(remainingFailoverMillis()) > remainingNanos;
   }
 
-  private long failoverLeftMillis() {
-    long lostMillis = TimeUnit.NANOSECONDS.toMillis(primaryLostNanos.getAsLong());
-    return Math.max(0, FAILOVER_MILLIS - lostMillis);
+  private long remainingFailoverMillis() {
+    long unresponsiveMillis = TimeUnit.NANOSECONDS.toMillis(primaryUnresponsiveNanos.getAsLong());
+    return Math.max(0, FAILOVER_MILLIS - unresponsiveMillis);
   }
 
   /**
-   * Returns how long a statement looks for a server.
+   * Returns how long a statement searches for a server.
    *
-   * <p>Guards against servers that have more work than they can do, and do all of it late: if
-   * statements wait for slots as long as they live, each one that gets a slot has waited for nearly
-   * that long. A primary that is lost is waited for longer, since its successor serves all who
-   * wait.
+   * <p>The limit keeps overloaded servers from finishing all their work late: if statements waited
+   * for a slot until their deadline, each statement that gets a slot would have waited for nearly
+   * that long. The search for a failed primary may take longer, since its successor serves all
+   * queued statements.
    *
-   * @param timeNanos the whole time of the statement
-   * @param objectiveNanos within which its operation should end; 0 where there is none
+   * @param timeoutNanos the timeout of the statement
+   * @param objectiveNanos the latency objective of the operation; 0 if there is none
    */
-  long searchNanos(long timeNanos, long objectiveNanos) {
-    long most = (long) (timeNanos * SEARCH_SHARE);
-    boolean primaryAwaited = needsLead && primaryLostNanos.isPresent();
-    return primaryAwaited || objectiveNanos == 0
-        ? most
-        : Math.min(most, (long) (objectiveNanos * OBJECTIVE_SHARE));
+  long searchNanos(long timeoutNanos, long objectiveNanos) {
+    long maxNanos = (long) (timeoutNanos * SEARCH_FRACTION);
+    boolean awaitsPrimary = needsPrimary && primaryUnresponsiveNanos.isPresent();
+    return awaitsPrimary || objectiveNanos == 0
+        ? maxNanos
+        : Math.min(maxNanos, (long) (objectiveNanos * OBJECTIVE_FRACTION));
   }
 
-  /** Returns when the caller of a statement that was refused should come back. */
+  /** Returns the delay after which the caller of a refused statement should retry. */
   long retryAfterMillis() {
     if (hopeless()) {
       return ISOLATED_RETRY_MILLIS;
     }
-    if (needsLead && primaryLost()) {
-      return Math.max(MIN_FAILOVER_RETRY_MILLIS, failoverLeftMillis());
+    if (needsPrimary && primaryFailed()) {
+      return Math.max(MIN_FAILOVER_RETRY_MILLIS, remainingFailoverMillis());
     }
     return BUSY_RETRY_MILLIS;
   }
 
-  /** Returns what the caller is told. */
-  String text() {
+  /** Returns the refusal message for the caller. */
+  String message() {
     String reason =
         hopeless()
-            ? "this host is cut off from the primary, another one may serve it"
-            : "no server could run it now";
+            ? "this host is cut off from the primary; another host may run the statement"
+            : "no server can run the statement now";
     return reason + "; retry after " + retryAfterMillis() + " ms";
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/PeerSamples.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/PeerSamples.java
@@ -19,25 +19,25 @@
 import org.alderyard.protocol.wire.PeerLinks;
 
 /**
- * Samples of a primary's position from other hosts.
+ * Exchanges samples of the primaries' positions with other hosts.
  *
- * <p>Guards against a host that is cut off from a primary but not from its replicas: after the age
- * bound it could prove no read any more, though the replicas hold all that is needed. The answer
- * says how long before it the primary was asked; that time is taken off the time at which this host
- * sent its question, so the way of the answer only makes the sample look older than it is.
+ * <p>Needed by a host that is cut off from a primary but not from its replicas. After the staleness
+ * limit, such a host could not prove any read to be recent enough, although the replicas hold the
+ * required data. A reply contains the age of its sample. This host subtracts the age from the time
+ * at which it sent the request, so a slow reply only makes the sample look older than it is.
  */
 final class PeerSamples {
   private static final Duration TIMEOUT = Duration.ofMillis(300);
 
-  /** Two are asked at a time: one of them may be cut off as well. */
-  private static final int PEERS = 2;
+  /** Two hosts are asked in parallel, since one of them may also be cut off. */
+  private static final int PARALLEL_PEERS = 2;
 
-  private static final long PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
+  private static final long MIN_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
   private final PeerLinks links;
   private final Holders holders;
   private final SessionParts parts;
-  private final AtomicInteger next = new AtomicInteger();
+  private final AtomicInteger nextPeer = new AtomicInteger();
   private final Map<GroupId, Long> notBeforeNanos = new ConcurrentHashMap<>();
 
   PeerSamples(PeerLinks links, Holders holders, SessionParts parts) {
@@ -47,10 +47,10 @@
   }
 
   void serve(Dispatcher dispatcher) {
-    dispatcher.serve(DataMethods.POSITION_SAMPLE, (peer, request) -> answer(request));
+    dispatcher.serve(DataMethods.POSITION_SAMPLE, (peer, request) -> handleRequest(request));
   }
 
-  private CompletableFuture<PositionSampleReply> answer(PositionSampleRequest request) {
+  private CompletableFuture<PositionSampleReply> handleRequest(PositionSampleRequest request) {
     GroupRouting routing = parts.routings().of(new GroupId(request.getGroup()));
     long now = parts.clock().nowNanos();
     PositionSampleReply.Builder reply = PositionSampleReply.newBuilder();
@@ -60,46 +60,50 @@
             sample ->
                 reply
                     .setPosition(StateCodec.positionMessage(sample.position()))
-                    .setAgeMicros(micros(now - sample.askedNanos())));
+                    .setAgeMicros(toMicrosRoundedUp(now - sample.requestedNanos())));
     return CompletableFuture.completedFuture(reply.build());
   }
 
-  /** Rounded up, so that a sample never looks younger than it is. */
-  private static long micros(long nanos) {
+  /** Rounds up, so that a sample never looks more recent than it is. */
+  private static long toMicrosRoundedUp(long nanos) {
     return TimeUnit.NANOSECONDS.toMicros(nanos) + 1;
   }
 
-  /** Asks other hosts for a sample of a group. */
-  void ask(GroupId group, long nowNanos) {
+  /** Requests a sample of a group from other hosts, unless one was requested recently. */
+  void requestSamples(GroupId group, long nowNanos) {
     Long notBefore = notBeforeNanos.get(group);
     if (notBefore != null && nowNanos - notBefore < 0) {
       return;
     }
-    notBeforeNanos.put(group, nowNanos + PAUSE_NANOS);
+    notBeforeNanos.put(group, nowNanos + MIN_INTERVAL_NANOS);
     List<HostState> peers = holders.wellInformed(parts.views().current(), group);
     PositionSampleRequest request =
         PositionSampleRequest.newBuilder().setGroup(group.value()).build();
-    for (int i = 0; i < Math.min(PEERS, peers.size()); i++) {
-      HostState peer = peers.get(Math.floorMod(next.getAndIncrement(), peers.size()));
-      long sent = parts.clock().nowNanos();
+    for (int i = 0; i < Math.min(PARALLEL_PEERS, peers.size()); i++) {
+      HostState peer = peers.get(Math.floorMod(nextPeer.getAndIncrement(), peers.size()));
+      long sentNanos = parts.clock().nowNanos();
       links
           .to(peer.innerAddress())
           .call(DataMethods.POSITION_SAMPLE, request, TIMEOUT)
-          .thenAccept(reply -> sample(reply, sent).ifPresent(taken -> take(group, taken)));
+          .thenAccept(
+              reply ->
+                  decodeSample(reply, sentNanos).ifPresent(sample -> addSample(group, sample)));
     }
   }
 
-  /** Returns the sample of an answer, on the clock of the host that asked. */
-  static Optional<PositionSamples.Sample> sample(PositionSampleReply reply, long sentNanos) {
+  /**
+   * Converts a reply to a sample on the clock of the requesting host; empty if the reply has none.
+   */
+  static Optional<PositionSamples.Sample> decodeSample(PositionSampleReply reply, long sentNanos) {
     if (!reply.hasPosition()) {
       return Optional.empty();
     }
     Position position = StateCodec.position(reply.getPosition());
-    long askedNanos = sentNanos - TimeUnit.MICROSECONDS.toNanos(reply.getAgeMicros());
-    return Optional.of(new PositionSamples.Sample(askedNanos, position));
+    long requestedNanos = sentNanos - TimeUnit.MICROSECONDS.toNanos(reply.getAgeMicros());
+    return Optional.of(new PositionSamples.Sample(requestedNanos, position));
   }
 
-  private void take(GroupId group, PositionSamples.Sample sample) {
-    parts.routings().of(group).sampled(sample.askedNanos(), sample.position());
+  private void addSample(GroupId group, PositionSamples.Sample sample) {
+    parts.routings().of(group).sampled(sample.requestedNanos(), sample.position());
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/PooledSession.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/PooledSession.java
@@ -22,13 +22,18 @@
 import org.apache.commons.codec.digest.DigestUtils;
 
 /**
- * A pooled connection that remembers what the sessions before left on it.
+ * A pooled connection that tracks the session values and prepared statements that earlier sessions
+ * left on it.
  *
- * <p>Prepared statements are named by their shape here, so that sessions whose names collide can
- * share a connection, and a shape is prepared once on each. One session uses it at a time.
+ * <p>Prepared statements are named by their shape, so that sessions with colliding names can share
+ * a connection and each shape is prepared once per connection. Only one session at a time may use
+ * the connection.
  */
 final class PooledSession implements PooledConnection {
-  /** Beyond this many the connection is cleared; more shapes are not in use at one time. */
+  /**
+   * Number of prepared statements at which the connection is reset; fewer shapes are in use at one
+   * time.
+   */
   private static final int MAX_PREPARED = 256;
 
   private static final int NAME_BYTES = 8;
@@ -50,22 +55,22 @@
   }
 
   /**
-   * Returns what must be sent before a statement of a session with these values.
+   * Returns the requests to send before a statement of a session with the given values.
    *
-   * @param wanted the session's values
-   * @param statement the prepared statement that it is about to run, if it runs one
-   * @param mayClear whether the connection is outside of a transaction
+   * @param sessionValues the values of the session
+   * @param statement the prepared statement to execute, if any
+   * @param mayReset whether the connection is outside a transaction
    */
   List<SessionRequest> adopt(
-      Map<String, String> wanted, Optional<Prepare> statement, boolean mayClear) {
+      Map<String, String> sessionValues, Optional<Prepare> statement, boolean mayReset) {
     List<SessionRequest> requests = new ArrayList<>();
-    boolean foreign = !wanted.keySet().containsAll(values.keySet());
-    if (mayClear && (foreign || prepared.size() >= MAX_PREPARED)) {
+    boolean hasForeignValues = !sessionValues.keySet().containsAll(values.keySet());
+    if (mayReset && (hasForeignValues || prepared.size() >= MAX_PREPARED)) {
       requests.add(SessionRequest.own(new Reset()));
       values.clear();
       prepared.clear();
     }
-    wanted.forEach(
+    sessionValues.forEach(
         (name, value) -> {
           if (!value.equals(values.put(name, value))) {
             requests.add(SessionRequest.own(new SetValue(name, value)));
@@ -81,8 +86,8 @@
     return requests;
   }
 
-  /** The server no longer knows a prepared statement; the next use prepares it again. */
-  void forget(Prepare statement) {
+  /** Records that the server no longer has a prepared statement; its next use prepares it again. */
+  void removePrepared(Prepare statement) {
     prepared.remove(serverName(statement));
   }
 
@@ -90,7 +95,7 @@
     return connection.run(requests, timeout);
   }
 
-  /** Sends one statement of the system itself. */
+  /** Sends a statement that the proxy itself issues. */
   CompletableFuture<SessionReply> runOwn(SessionStatement statement, Duration timeout) {
     return run(List.of(SessionRequest.own(statement)), timeout)
         .thenApply(replies -> replies.get(0));
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/PositionSamples.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/PositionSamples.java
@@ -8,88 +8,93 @@
 import org.alderyard.common.id.Position;
 
 /**
- * What a primary's log held, and when it was asked.
+ * Recent log positions of a primary and the times at which they were requested.
  *
- * <p>A sample covers every commit that was acknowledged before its question was sent. So a read
- * that may be S old is served rightly by any server that holds the position of a sample asked no
- * longer than S ago; the oldest such sample lets the most replicas serve it. Pure; not safe for
- * several threads.
+ * <p>A sample covers every commit that was acknowledged before its request was sent. A read that
+ * may be stale by S can therefore run on any server that holds the position of a sample requested
+ * no longer than S ago; the oldest such sample allows the most replicas to serve the read. Reads no
+ * clock; not thread-safe.
  */
 final class PositionSamples {
-  /** Closer samples replace each other: it bounds the list, at 1 % of the usual bounds of age. */
-  private static final long SPACING_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
+  /**
+   * Samples closer than 1 % of the usual staleness limits replace each other, which bounds the
+   * list.
+   */
+  private static final long MIN_SPACING_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
-  /** The longest bound of age that is made use of; samples beyond it are dropped. */
-  private static final long KEPT_NANOS = TimeUnit.SECONDS.toNanos(10);
+  /** Longest staleness limit for which samples are kept; older samples are dropped. */
+  private static final long RETENTION_NANOS = TimeUnit.SECONDS.toNanos(10);
 
-  /** A step between the two clocks beyond this is taken for a pause of the host. */
-  private static final long CLOCK_STEP_MILLIS = 30;
+  /** A larger step between the two clocks is treated as a suspension of the host. */
+  private static final long MAX_CLOCK_STEP_MILLIS = 30;
 
   private final Deque<Sample> samples = new ArrayDeque<>();
   private long clockOffsetMillis = Long.MIN_VALUE;
 
   /**
-   * A sample.
+   * A log position of a primary.
    *
-   * @param askedNanos when the question was sent
-   * @param position what the primary's log held at some time after that
+   * @param requestedNanos when the request was sent
+   * @param position a position that the primary's log held at some time after the request
    */
-  record Sample(long askedNanos, Position position) {}
+  record Sample(long requestedNanos, Position position) {}
 
   /**
-   * Forgets everything when the time of day moved against the monotonic clock.
+   * Removes all samples if the wall clock has moved relative to the monotonic clock.
    *
-   * <p>Guards against a host that was suspended: its monotonic clock stood still meanwhile, so that
-   * old samples look young, and reads would be older than they may be. A step of the time of day
-   * looks the same and costs a few questions only.
+   * <p>The monotonic clock stops while a host is suspended, so that old samples would look recent
+   * and reads would exceed their staleness limit. A step of the wall clock looks the same and costs
+   * only a few requests.
    */
   void checkClocks(long nowNanos, long wallMillis) {
     long offset = wallMillis - TimeUnit.NANOSECONDS.toMillis(nowNanos);
     if (clockOffsetMillis != Long.MIN_VALUE
-        && Math.abs(offset - clockOffsetMillis) > CLOCK_STEP_MILLIS) {
+        && Math.abs(offset - clockOffsetMillis) > MAX_CLOCK_STEP_MILLIS) {
       samples.clear();
     }
     if (clockOffsetMillis == Long.MIN_VALUE
-        || Math.abs(offset - clockOffsetMillis) > CLOCK_STEP_MILLIS) {
+        || Math.abs(offset - clockOffsetMillis) > MAX_CLOCK_STEP_MILLIS) {
       clockOffsetMillis = offset;
     }
   }
 
-  /** Adds what a server answered that proved at the same time that it leads. */
-  void add(long askedNanos, Position position) {
-    Sample last = samples.peekLast();
-    if (last != null && position.term() > last.position().term()) {
-      // What an earlier primary said may name commits that no later log holds.
+  /** Adds a position returned by a server that proved at the same time that it is the primary. */
+  void add(long requestedNanos, Position position) {
+    Sample newest = samples.peekLast();
+    if (newest != null && position.term() > newest.position().term()) {
+      // The position of an earlier primary may cover commits that no later log holds.
       samples.clear();
-      last = null;
+      newest = null;
     }
-    if (last != null
-        && (askedNanos <= last.askedNanos() || position.term() < last.position().term())) {
+    if (newest != null
+        && (requestedNanos <= newest.requestedNanos()
+            || position.term() < newest.position().term())) {
       return;
     }
-    if (last != null && askedNanos - secondLastNanos(last) < SPACING_NANOS) {
+    if (newest != null && requestedNanos - secondNewestNanos(newest) < MIN_SPACING_NANOS) {
       samples.removeLast();
     }
-    samples.addLast(new Sample(askedNanos, position));
-    while (askedNanos - samples.peekFirst().askedNanos() > KEPT_NANOS) {
+    samples.addLast(new Sample(requestedNanos, position));
+    while (requestedNanos - samples.peekFirst().requestedNanos() > RETENTION_NANOS) {
       samples.removeFirst();
     }
   }
 
-  private long secondLastNanos(Sample last) {
+  private long secondNewestNanos(Sample newest) {
     Iterator<Sample> newestFirst = samples.descendingIterator();
     newestFirst.next();
-    return newestFirst.hasNext() ? newestFirst.next().askedNanos() : last.askedNanos() - KEPT_NANOS;
+    return newestFirst.hasNext()
+        ? newestFirst.next().requestedNanos()
+        : newest.requestedNanos() - RETENTION_NANOS;
   }
 
-  /** Returns the oldest sample that was asked no longer ago than the given age. */
+  /** Returns the oldest sample that was requested within the given time before now. */
   Optional<Sample> oldestWithin(long nowNanos, long maxAgeNanos) {
     return samples.stream()
-        .filter(sample -> nowNanos - sample.askedNanos() <= maxAgeNanos)
+        .filter(sample -> nowNanos - sample.requestedNanos() <= maxAgeNanos)
         .findFirst();
   }
 
-  /** Returns the newest sample. */
   Optional<Sample> newest() {
     return Optional.ofNullable(samples.peekLast());
   }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/ReadFloors.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/ReadFloors.java
@@ -7,21 +7,24 @@
 import org.alderyard.common.view.SessionReads;
 
 /**
- * Finds the position that a server must hold for a read.
+ * Determines the position that a server must hold to run a read.
  *
- * <p>Guards against a herd on the primaries: a host that has just started, or that was suspended,
- * has no sample, and all reads that came until the first one turned to the primaries, which alone
- * prove their lead, and queued there for half a second while the replicas stood idle. One question
- * serves all of them, and takes no slot.
+ * <p>A host that has just started, or was suspended, has no sample. All reads that arrive before
+ * the first sample share one sample request, which takes no slot. Without it, these reads went to
+ * the primaries, which need no sample, and queued there for half a second while the replicas were
+ * idle.
  */
 final class ReadFloors {
   /**
-   * The longest wait for a sample: a question, its connection and a second question after a change
-   * of primary take less, also on a host whose code is cold.
+   * Maximum wait for a sample. Opening a connection, one request and a second request after a
+   * change of primary take less, even on a host that has not warmed up.
    */
   private static final long SAMPLE_WAIT_MILLIS = 250;
 
-  /** The part of a statement's time that may be spent on it; the primary must still be asked. */
+  /**
+   * Divisor of the statement timeout that limits the wait for a sample; the rest is needed to query
+   * the primary.
+   */
   private static final int WAIT_DIVISOR = 4;
 
   private final SessionParts parts;
@@ -33,10 +36,10 @@
   }
 
   /**
-   * Returns what a server must hold for a read.
+   * Returns the position that a server must hold to run a read.
    *
-   * @param written the position of the session's own last write, if there is one
-   * @return empty if only a server that leads may run it
+   * @param written the position of the session's last write, if any
+   * @return empty if only the primary may run the read
    */
   CompletableFuture<Optional<GroupRouting.Floor>> floor(
       DatabaseState database, Optional<GroupRouting.Floor> written) {
@@ -45,23 +48,25 @@
     }
     Optional<GroupRouting.Floor> own =
         database.reads() == SessionReads.OWN_WRITES ? written : Optional.empty();
-    refresher.used(database, parts.clock().nowNanos());
-    Optional<GroupRouting.Floor> known = known(database, own);
-    if (known.isPresent()) {
-      return CompletableFuture.completedFuture(known);
+    refresher.refreshIfDue(database, parts.clock().nowNanos());
+    Optional<GroupRouting.Floor> floor = currentFloor(database, own);
+    if (floor.isPresent()) {
+      return CompletableFuture.completedFuture(floor);
     }
-    long limitMillis =
+    long timeoutMillis =
         Math.min(SAMPLE_WAIT_MILLIS, database.statementTimeoutMillis() / WAIT_DIVISOR);
-    CompletableFuture<Void> arrival = parts.routings().of(database.group()).nextSample(limitMillis);
-    // A sample that came in between is not told of.
-    Optional<GroupRouting.Floor> meanwhile = known(database, own);
-    if (meanwhile.isPresent()) {
-      return CompletableFuture.completedFuture(meanwhile);
+    CompletableFuture<Void> sampleAdded =
+        parts.routings().of(database.group()).awaitSample(timeoutMillis);
+    // A sample that was added before the registration does not complete the future.
+    Optional<GroupRouting.Floor> floorAfterRegistration = currentFloor(database, own);
+    if (floorAfterRegistration.isPresent()) {
+      return CompletableFuture.completedFuture(floorAfterRegistration);
     }
-    return arrival.thenApplyAsync(done -> known(database, own), parts.workers()::execute);
+    return sampleAdded.thenApplyAsync(
+        done -> currentFloor(database, own), parts.workers()::execute);
   }
 
-  private Optional<GroupRouting.Floor> known(
+  private Optional<GroupRouting.Floor> currentFloor(
       DatabaseState database, Optional<GroupRouting.Floor> own) {
     return parts
         .routings()
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/SampleRefresher.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/SampleRefresher.java
@@ -21,120 +21,128 @@
 import org.alderyard.common.view.ServerState;
 
 /**
- * Asks a primary for its position when reads need one and no write brought one for a while.
+ * Requests the position of a primary when reads need a sample and no recent write returned one.
  *
- * <p>The question is a transaction that could write, begun and rolled back: it takes no slot, and a
- * primary that was replaced refuses it.
+ * <p>The request begins a read-write transaction and rolls it back: it takes no slot, and a
+ * replaced primary refuses it.
  */
 final class SampleRefresher {
-  /** The part of the age bound after which the newest sample is replaced. */
-  private static final double DUE_SHARE = 0.5;
+  /** Fraction of the staleness limit after which the newest sample is refreshed. */
+  private static final double REFRESH_FRACTION = 0.5;
 
   private static final Duration TIMEOUT = Duration.ofMillis(400);
 
-  /** The pause between two questions that get no answer. */
-  private static final long PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
+  /**
+   * Minimum interval between two searches in a group, which limits the requests that get no answer.
+   */
+  private static final long MIN_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
   private final SessionParts parts;
   private final Map<GroupId, Long> notBeforeNanos = new ConcurrentHashMap<>();
-  private volatile Optional<PeerSamples> peers = Optional.empty();
+  private volatile Optional<PeerSamples> peerSamples = Optional.empty();
 
   SampleRefresher(SessionParts parts) {
     this.parts = parts;
   }
 
-  /** A read of a bounded age comes; asks for a position if the last one is getting old. */
-  void used(DatabaseState database, long nowNanos) {
+  /**
+   * Requests a position if the newest sample is missing or getting old. Called for each read with
+   * bounded staleness.
+   */
+  void refreshIfDue(DatabaseState database, long nowNanos) {
     GroupRouting routing = parts.routings().of(database.group());
-    double dueNanos = TimeUnit.MILLISECONDS.toNanos(database.maxStalenessMillis()) * DUE_SHARE;
+    double dueNanos =
+        TimeUnit.MILLISECONDS.toNanos(database.maxStalenessMillis()) * REFRESH_FRACTION;
     boolean due = routing.newestSampleAgeNanos(nowNanos).map(age -> age > dueNanos).orElse(true);
     Optional<GroupState> group = parts.group(database.group());
     if (!due || group.isEmpty()) {
       return;
     }
     searchLead(group.get());
-    if (routing.primaryOutOfReach(group.get(), nowNanos)) {
-      peers.ifPresent(others -> others.ask(database.group(), nowNanos));
+    if (routing.primaryUnavailable(group.get(), nowNanos)) {
+      peerSamples.ifPresent(samples -> samples.requestSamples(database.group(), nowNanos));
     }
   }
 
-  /** Turns to other hosts as well when the primary is out of reach. */
-  void askPeers(PeerSamples others) {
-    peers = Optional.of(others);
+  /** Also requests samples from other hosts when the primary is unavailable. */
+  void askPeers(PeerSamples samples) {
+    peerSamples = Optional.of(samples);
   }
 
   /**
-   * Asks the believed primary although it failed lately.
+   * Probes the presumed primary even if it recently failed.
    *
-   * <p>A slow server answers this question, as it takes no slot; one that does not is lost.
+   * <p>The probe takes no slot, so a slow server answers it; a server that does not answer has
+   * failed.
    */
   void askAgain(GroupState group, long nowNanos) {
-    ask(group, nowNanos, server -> true);
+    startSearch(group, nowNanos, server -> true);
   }
 
-  /** Looks for the primary: nobody is believed to lead, or the one that is gives no answers. */
+  /** Searches for the primary if no primary is known or the presumed primary does not answer. */
   void searchLead(GroupState group) {
     long now = parts.clock().nowNanos();
     GroupRouting routing = parts.routings().of(group.id());
-    ask(group, now, server -> !routing.paused(server, now));
+    startSearch(group, now, server -> !routing.inBackoff(server, now));
   }
 
-  private void ask(GroupState group, long nowNanos, Predicate<ServerState> usable) {
+  private void startSearch(GroupState group, long nowNanos, Predicate<ServerState> filter) {
     Long notBefore = notBeforeNanos.get(group.id());
     if (notBefore != null && nowNanos - notBefore < 0) {
       return;
     }
-    notBeforeNanos.put(group.id(), nowNanos + PAUSE_NANOS);
-    askNext(group, nowNanos, usable, Set.of());
+    notBeforeNanos.put(group.id(), nowNanos + MIN_INTERVAL_NANOS);
+    tryNextServer(group, nowNanos, filter, Set.of());
   }
 
   /**
-   * Asks the server that leads most likely, and the next one if it does not lead or answer.
+   * Asks the most likely primary, and the next server if that server is not the primary or does not
+   * answer.
    *
-   * @param asked the servers that were asked already
+   * @param triedServers the servers that were already asked
    */
-  private void askNext(
-      GroupState group, long nowNanos, Predicate<ServerState> usable, Set<ServerId> asked) {
+  private void tryNextServer(
+      GroupState group, long nowNanos, Predicate<ServerState> filter, Set<ServerId> triedServers) {
     GroupRouting routing = parts.routings().of(group.id());
-    routing.primaryOrder(parts.servers(group.id()), group, nowNanos).stream()
-        .filter(usable)
-        .filter(server -> !asked.contains(server.id()))
+    routing.primaryCandidates(parts.servers(group.id()), group, nowNanos).stream()
+        .filter(filter)
+        .filter(server -> !triedServers.contains(server.id()))
         .findFirst()
         .ifPresent(
             server -> {
-              Set<ServerId> next = new HashSet<>(asked);
-              next.add(server.id());
+              Set<ServerId> nowTried = new HashSet<>(triedServers);
+              nowTried.add(server.id());
               connect(
                   routing,
                   group,
                   server,
-                  () -> askNext(group, parts.clock().nowNanos(), usable, next));
+                  () -> tryNextServer(group, parts.clock().nowNanos(), filter, nowTried));
             });
   }
 
   private void connect(
-      GroupRouting routing, GroupState group, ServerState server, Runnable elsewhere) {
+      GroupRouting routing, GroupState group, ServerState server, Runnable tryNext) {
     parts
         .pools()
         .take(server, TIMEOUT)
         .whenComplete(
             (session, failure) -> {
               if (failure == null) {
-                question(routing, group, server, session, elsewhere);
-              } else if (!StatementRun.ownLimit(Futures.unwrap(failure))) {
+                probe(routing, group, server, session, tryNext);
+              } else if (!StatementRun.isConnectionLimit(Futures.unwrap(failure))) {
                 routing.failed(server, parts.clock().nowNanos());
-                elsewhere.run();
+                tryNext.run();
               }
             });
   }
 
-  private void question(
+  private void probe(
       GroupRouting routing,
       GroupState group,
       ServerState server,
       PooledSession session,
-      Runnable elsewhere) {
-    long asked = parts.clock().nowNanos();
+      Runnable tryNext) {
+    long sentNanos = parts.clock().nowNanos();
     session
         .run(List.of(SessionRequest.own(new Begin(false))), TIMEOUT)
         .whenComplete(
@@ -142,18 +150,18 @@
               if (failure != null) {
                 routing.failed(server, parts.clock().nowNanos());
                 parts.discard(server, session);
-                elsewhere.run();
+                tryNext.run();
                 return;
               }
               SessionReply reply = replies.get(0);
               long now = parts.clock().nowNanos();
-              routing.answered(server, now, now - asked, false, reply.position());
+              routing.answered(server, now, now - sentNanos, false, reply.position());
               if (reply.succeeded()) {
-                routing.leads(server);
-                reply.position().ifPresent(position -> routing.sampled(asked, position));
+                routing.confirmPrimary(server);
+                reply.position().ifPresent(position -> routing.sampled(sentNanos, position));
               } else if (reply.refusedWith(RefusalCode.NOT_PRIMARY)) {
                 routing.doesNotLead(server, group);
-                elsewhere.run();
+                tryNext.run();
               }
               parts.rollBackAndRelease(server, session);
             });
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/SampledLog.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/SampledLog.java
@@ -2,17 +2,19 @@
 
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Picks one in so many events, so that the routine does not fill the log. */
+/**
+ * Selects one event out of a given number for logging, so that routine events do not fill the log.
+ */
 final class SampledLog {
-  private final int oneIn;
+  private final int interval;
   private final AtomicLong count = new AtomicLong();
 
-  SampledLog(int oneIn) {
-    this.oneIn = oneIn;
+  SampledLog(int interval) {
+    this.interval = interval;
   }
 
-  /** Returns whether the next event is one to log. */
-  boolean due() {
-    return count.getAndIncrement() % oneIn == 0;
+  /** Returns whether to log the next event. */
+  boolean shouldLog() {
+    return count.getAndIncrement() % interval == 0;
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/ServerDemand.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/ServerDemand.java
@@ -4,49 +4,51 @@
 import java.util.Optional;
 
 /**
- * Which servers may run a statement, and how they prove that they may.
+ * Requirements on the server that runs a statement, and how the server proves that it meets them.
  *
- * @param floor the position that the server's log must hold; empty where the server must lead
- * @param begin whether a transaction is opened before the statement, and whether it only reads
- * @param keep whether the transaction stays open after the statement
+ * @param floor the position that the server's log must hold; empty if the server must be the
+ *     primary
+ * @param begin whether the transaction begun before the statement is read-only; empty if none is
+ *     begun
+ * @param keepOpen whether the transaction stays open after the statement
  */
-record ServerDemand(Optional<GroupRouting.Floor> floor, Optional<Boolean> begin, boolean keep) {
+record ServerDemand(Optional<GroupRouting.Floor> floor, Optional<Boolean> begin, boolean keepOpen) {
 
-  /** Checks. */
+  /** Rejects null components. */
   ServerDemand {
     Objects.requireNonNull(floor);
     Objects.requireNonNull(begin);
   }
 
-  /** A single read on any server that holds the position. */
-  static ServerDemand holding(GroupRouting.Floor floor) {
+  /** Single read on any server that holds the position. */
+  static ServerDemand atFloor(GroupRouting.Floor floor) {
     return new ServerDemand(Optional.of(floor), Optional.empty(), false);
   }
 
-  /** The first statement of a read-only transaction on any server that holds the position. */
+  /** First statement of a read-only transaction on any server that holds the position. */
   static ServerDemand readTransaction(GroupRouting.Floor floor) {
     return new ServerDemand(Optional.of(floor), Optional.of(true), true);
   }
 
   /**
-   * A single read on the primary. A primary that was replaced still answers reads that stand alone;
-   * a transaction that could write is refused by it, so the read runs inside one.
+   * Single read on the primary. The read runs inside a read-write transaction: a replaced primary
+   * refuses such a transaction, but still answers standalone reads.
    */
-  static ServerDemand provedLead() {
+  static ServerDemand verifiedPrimary() {
     return new ServerDemand(Optional.empty(), Optional.of(false), false);
   }
 
-  /** The first statement of a transaction that may write. */
+  /** First statement of a transaction that may write. */
   static ServerDemand transaction() {
     return new ServerDemand(Optional.empty(), Optional.of(false), true);
   }
 
-  /** A single write: only the primary takes it. */
-  static ServerDemand lead() {
+  /** Single write, which only the primary accepts. */
+  static ServerDemand primary() {
     return new ServerDemand(Optional.empty(), Optional.empty(), false);
   }
 
-  boolean needsLead() {
+  boolean needsPrimary() {
     return floor.isEmpty();
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/ServerRefusals.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/ServerRefusals.java
@@ -4,92 +4,104 @@
 import org.alderyard.common.id.Position;
 
 /**
- * What one server refused, and from when on it may be asked for the same again. Pure; not safe for
- * several threads.
+ * Recent refusals of one server and the times at which it may be retried. Reads no clock; not
+ * thread-safe.
  *
- * <p>Guards against a host whose statements each learn for themselves what the server has just told
- * another one: they went round after round, and a server with two slots answered little else than
- * refusals. After a refusal one statement at a time asks again, and the others wait for what it
- * learns.
+ * <p>All statements of this host share this state: after a refusal, one statement at a time retries
+ * and the others wait for its result. When each statement retried on its own, a server with two
+ * slots spent most of its time on refusals.
  */
 final class ServerRefusals {
-  /** The first pause after a server had no slot; slots turn over in some milliseconds. */
-  private static final long FIRST_BUSY_MILLIS = 4;
+  /**
+   * Initial backoff after a server had no free slot; slots become free within a few milliseconds.
+   */
+  private static final long INITIAL_BUSY_BACKOFF_MILLIS = 4;
 
-  private static final long MAX_BUSY_MILLIS = 64;
+  private static final long MAX_BUSY_BACKOFF_MILLIS = 64;
 
-  /** A replica applies in batches, so that it is not worth while to ask sooner. */
-  private static final long MIN_LACKS_MILLIS = 10;
+  /** Replicas apply the log in batches, so retrying sooner is not useful. */
+  private static final long MIN_POSITION_BACKOFF_MILLIS = 10;
 
-  /** The estimate of a replica's lag may be far too long, and then this bounds the loss. */
-  private static final long MAX_LACKS_MILLIS = 250;
+  /** Bounds the delay if the lag of a replica is greatly overestimated. */
+  private static final long MAX_POSITION_BACKOFF_MILLIS = 250;
 
-  private int busyInRow;
-  private long busyUntilNanos;
-  private Position lacked = Position.NONE;
-  private boolean lacks;
-  private long lacksUntilNanos;
+  private int consecutiveBusy;
+  private long busyBackoffUntilNanos;
+  private Position missingPosition = Position.NONE;
+  private boolean positionMissing;
+  private long positionBackoffUntilNanos;
 
-  /** The server had no slot. */
-  void busy(long nowNanos) {
-    busyUntilNanos = nowNanos + busyPauseNanos();
-    busyInRow++;
+  /** Records that the server had no free slot. */
+  void recordBusy(long nowNanos) {
+    busyBackoffUntilNanos = nowNanos + busyBackoffNanos();
+    consecutiveBusy++;
   }
 
-  private long busyPauseNanos() {
-    long millis = Math.min(MAX_BUSY_MILLIS, FIRST_BUSY_MILLIS << Math.min(busyInRow, 4));
+  private long busyBackoffNanos() {
+    long millis =
+        Math.min(
+            MAX_BUSY_BACKOFF_MILLIS, INITIAL_BUSY_BACKOFF_MILLIS << Math.min(consecutiveBusy, 4));
     return TimeUnit.MILLISECONDS.toNanos(millis);
   }
 
-  /** The server gave a statement a slot, or one of this host's statements gave one back. */
-  void tookWork() {
-    busyInRow = 0;
-    busyUntilNanos = 0;
+  /**
+   * Clears the busy backoff: the server assigned a slot to a statement, or a statement of this host
+   * released one.
+   */
+  void recordAccepted() {
+    consecutiveBusy = 0;
+    busyBackoffUntilNanos = 0;
   }
 
   /**
-   * The server lacked a position.
+   * Records that the server lacked a position.
    *
-   * @param expectedNanos when it is expected to have it
+   * @param expectedNanos when the server is expected to hold the position
    */
-  void lacked(Position position, long nowNanos, long expectedNanos) {
-    if (!lacks || position.compareTo(lacked) < 0) {
-      lacked = position;
+  void recordMissingPosition(Position position, long nowNanos, long expectedNanos) {
+    if (!positionMissing || position.compareTo(missingPosition) < 0) {
+      missingPosition = position;
     }
-    lacks = true;
-    lacksUntilNanos = nowNanos + lacksPauseNanos(nowNanos, expectedNanos);
+    positionMissing = true;
+    positionBackoffUntilNanos = nowNanos + positionBackoffNanos(nowNanos, expectedNanos);
   }
 
-  private static long lacksPauseNanos(long nowNanos, long expectedNanos) {
-    long least = TimeUnit.MILLISECONDS.toNanos(MIN_LACKS_MILLIS);
-    long most = TimeUnit.MILLISECONDS.toNanos(MAX_LACKS_MILLIS);
-    return Math.min(most, Math.max(least, expectedNanos - nowNanos));
+  private static long positionBackoffNanos(long nowNanos, long expectedNanos) {
+    long minNanos = TimeUnit.MILLISECONDS.toNanos(MIN_POSITION_BACKOFF_MILLIS);
+    long maxNanos = TimeUnit.MILLISECONDS.toNanos(MAX_POSITION_BACKOFF_MILLIS);
+    return Math.min(maxNanos, Math.max(minNanos, expectedNanos - nowNanos));
   }
 
-  /** The server showed a position. */
-  void shows(Position position) {
-    if (lacks && position.compareTo(lacked) >= 0) {
-      lacks = false;
+  /** Records a position that the server holds. */
+  void recordPosition(Position position) {
+    if (positionMissing && position.compareTo(missingPosition) >= 0) {
+      positionMissing = false;
     }
   }
 
-  /** Returns whether the server is known to lack a position, and not expected to have it by now. */
-  boolean lacks(Position wanted, long nowNanos) {
-    return lacks && wanted.compareTo(lacked) >= 0 && nowNanos - lacksUntilNanos < 0;
+  /** Returns whether the server lacked a position and is not yet expected to hold it. */
+  boolean isMissing(Position required, long nowNanos) {
+    return positionMissing
+        && required.compareTo(missingPosition) >= 0
+        && nowNanos - positionBackoffUntilNanos < 0;
   }
 
-  /** Returns whether the server had no slot a moment ago. */
-  boolean busyNow(long nowNanos) {
-    return busyInRow > 0 && nowNanos - busyUntilNanos < 0;
+  /** Returns whether the server is in backoff because it had no free slot. */
+  boolean isBusy(long nowNanos) {
+    return consecutiveBusy > 0 && nowNanos - busyBackoffUntilNanos < 0;
   }
 
-  /** A statement goes there: others that need the same wait for its answer. */
-  void asked(long nowNanos) {
-    if (busyInRow > 0) {
-      busyUntilNanos = nowNanos + busyPauseNanos();
+  /**
+   * Extends the backoffs when a statement is sent to the server, so that other statements with the
+   * same need wait for its result.
+   */
+  void recordAttempt(long nowNanos) {
+    if (consecutiveBusy > 0) {
+      busyBackoffUntilNanos = nowNanos + busyBackoffNanos();
     }
-    if (lacks && nowNanos - lacksUntilNanos >= 0) {
-      lacksUntilNanos = nowNanos + TimeUnit.MILLISECONDS.toNanos(MIN_LACKS_MILLIS);
+    if (positionMissing && nowNanos - positionBackoffUntilNanos >= 0) {
+      positionBackoffUntilNanos =
+          nowNanos + TimeUnit.MILLISECONDS.toNanos(MIN_POSITION_BACKOFF_MILLIS);
     }
   }
 }
--- /dev/null
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/ServerTracker.java
@@ -0,0 +1,86 @@
+package org.alderyard.proxy.callersession;
+
+import java.util.concurrent.TimeUnit;
+import org.alderyard.common.id.Position;
+
+/** State of one incarnation of a server, as observed by this host. Not thread-safe. */
+final class ServerTracker extends AnswerTrack {
+  /**
+   * Assumed latency before the first response. It is close to the time of a typical statement, so
+   * that a server without responses is not preferred over all others.
+   */
+  private static final double INITIAL_LATENCY_MILLIS = 15;
+
+  /** Assumed lag of a replica before any lag is observed. */
+  private static final double INITIAL_LAG_MILLIS = 100;
+
+  private static final double LAG_GROWTH = 1.5;
+  private static final double LAG_DECAY = 0.97;
+  private static final long MAX_LAG_MILLIS = 10_000;
+
+  private final long incarnation;
+  private double lagMillis = INITIAL_LAG_MILLIS;
+  private Position position = Position.NONE;
+  private boolean replaced;
+  private final ServerRefusals refusals = new ServerRefusals();
+
+  ServerTracker(long incarnation) {
+    super(INITIAL_LATENCY_MILLIS);
+    this.incarnation = incarnation;
+  }
+
+  long incarnation() {
+    return incarnation;
+  }
+
+  @Override
+  void answered(long nowNanos, long tookNanos, boolean ran) {
+    super.answered(nowNanos, tookNanos, ran);
+    if (ran) {
+      refusals.recordAccepted();
+    }
+  }
+
+  /** Records that another server now listens on the server's address. */
+  void markReplaced() {
+    replaced = true;
+  }
+
+  boolean isReplaced() {
+    return replaced;
+  }
+
+  void recordPosition(Position held) {
+    if (held.compareTo(position) > 0) {
+      position = held;
+    }
+    refusals.recordPosition(held);
+    lagMillis *= LAG_DECAY;
+  }
+
+  /** Records that the server lacked a position that the primary held. */
+  void recordMissingPosition(GroupRouting.Floor floor, long nowNanos) {
+    double millis = (nowNanos - floor.sinceNanos()) / (double) TimeUnit.MILLISECONDS.toNanos(1);
+    lagMillis = Math.min(MAX_LAG_MILLIS, Math.max(lagMillis, millis) * LAG_GROWTH);
+    refusals.recordMissingPosition(floor.position(), nowNanos, floor.sinceNanos() + lagNanos());
+  }
+
+  private long lagNanos() {
+    return (long) (lagMillis * TimeUnit.MILLISECONDS.toNanos(1));
+  }
+
+  /** Returns the recent refusals of the server. */
+  ServerRefusals refusals() {
+    return refusals;
+  }
+
+  /**
+   * Returns whether the server is expected to hold a position of the given age.
+   *
+   * <p>A server without responses is assumed to hold it. A refusal costs one round trip, whereas
+   * all reads of a newly started host would otherwise go to the primary.
+   */
+  boolean likelyHolds(Position required, long ageNanos) {
+    return !hasAnswered() || position.compareTo(required) >= 0 || ageNanos >= lagNanos();
+  }
+}
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/StatementAttempt.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/StatementAttempt.java
@@ -19,27 +19,33 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One sending of a statement to one server: takes a connection, puts the session's values on it,
- * opens a transaction where that is asked for, sends, and judges the answer.
+ * One attempt to run a statement on one server: acquires a connection, applies the session values,
+ * begins a transaction if required, sends the statement and evaluates the reply.
  */
 final class StatementAttempt {
 
   private static final Logger log = LoggerFactory.getLogger(StatementAttempt.class);
 
-  /** A server that does not answer a begin, which takes no slot, in this time is out of reach. */
-  private static final long SETUP_MILLIS = 400;
+  /**
+   * A begin takes no slot, so a server that does not answer it within this time counts as
+   * unreachable.
+   */
+  private static final long SETUP_TIMEOUT_MILLIS = 400;
 
-  /** A read without an answer is sent to a second server after this many usual times. */
-  private static final double SECOND_SENDING_LATENCIES = 6;
+  /**
+   * A read without a response is hedged on a second server after this multiple of the average
+   * latency.
+   */
+  private static final double HEDGE_LATENCY_FACTOR = 6;
 
-  /** And not before this, so that a load that makes all servers slow is not doubled. */
-  private static final long MIN_SECOND_SENDING_MILLIS = 120;
+  /** Minimum hedging delay, so that a load that slows down all servers is not doubled. */
+  private static final long MIN_HEDGE_DELAY_MILLIS = 120;
 
   private final StatementRun run;
   private final ServerState server;
   private final SessionParts parts;
   private final StatementTask task;
-  private final ServerDemand demand;
+  private final ServerDemand requirement;
   private final GroupRouting routing;
   private long sentNanos;
 
@@ -48,7 +54,7 @@
     this.server = server;
     this.parts = run.parts();
     this.task = run.task();
-    this.demand = run.demand();
+    this.requirement = run.requirement();
     this.routing = run.routing();
   }
 
@@ -56,190 +62,206 @@
     routing.started(server, now);
     parts
         .pools()
-        .take(server, task.database().priority(), run.searchLeft(now))
+        .take(server, task.database().priority(), run.remainingSearchTime(now))
         .whenComplete(
             (session, failure) -> {
               parts.metrics().gotConnection(parts.clock().nowNanos() - now);
               if (failure != null) {
-                noConnection(Futures.unwrap(failure));
+                connectionFailed(Futures.unwrap(failure));
               } else if (run.isDone()) {
                 parts.release(server, session);
-                end();
+                endAttempt();
               } else {
-                prepare(session);
+                setUp(session);
               }
             });
   }
 
-  private void noConnection(Throwable failure) {
+  private void connectionFailed(Throwable failure) {
     boolean refused = failure instanceof ConnectRefusedException;
     if (refused && ((ConnectRefusedException) failure).refusal() == RefusalCode.WRONG_SERVER) {
-      routing.replaced(server);
-    } else if (!StatementRun.ownLimit(failure)) {
+      routing.recordReplaced(server);
+    } else if (!StatementRun.isConnectionLimit(failure)) {
       routing.failed(server, parts.clock().nowNanos());
     }
-    run.note(server, Futures.typed(failure).code());
-    again();
+    run.recordFailure(server, Futures.typed(failure).code());
+    retryElsewhere();
   }
 
-  private void end() {
+  private void endAttempt() {
     routing.ended(server);
     run.attemptEnded();
   }
 
-  /** Looks for another server: nothing that could be kept has run here. */
-  private void again() {
-    end();
-    run.next();
+  /**
+   * Ends this attempt and tries another server; the statement has had no lasting effect on this
+   * one.
+   */
+  private void retryElsewhere() {
+    endAttempt();
+    run.tryNextServer();
   }
 
-  private void prepare(PooledSession session) {
+  private void setUp(PooledSession session) {
     List<SessionRequest> setup = session.adopt(task.values(), task.prepared(), true);
-    demand
+    requirement
         .begin()
         .ifPresent(
             readOnly -> {
               SessionRequest begin = SessionRequest.own(new Begin(readOnly));
-              setup.add(demand.floor().map(f -> begin.after(f.position())).orElse(begin));
+              setup.add(
+                  requirement.floor().map(floor -> begin.after(floor.position())).orElse(begin));
             });
     if (setup.isEmpty()) {
       send(session);
       return;
     }
-    long asked = parts.clock().nowNanos();
+    long setupSentNanos = parts.clock().nowNanos();
     session
-        .run(setup, run.remaining(SETUP_MILLIS))
+        .run(setup, run.remainingTime(SETUP_TIMEOUT_MILLIS))
         .whenComplete(
             (replies, failure) -> {
               if (failure != null) {
-                lostBefore(session);
+                lostDuringSetup(session);
               } else {
-                prepared(session, asked, replies);
+                setupCompleted(session, setupSentNanos, replies);
               }
             });
   }
 
-  private void lostBefore(PooledSession session) {
+  private void lostDuringSetup(PooledSession session) {
     routing.failed(server, parts.clock().nowNanos());
-    run.note(server, "lost-before-sending");
+    run.recordFailure(server, "lost-before-sending");
     parts.discard(server, session);
-    again();
+    retryElsewhere();
   }
 
-  private void prepared(PooledSession session, long asked, List<SessionReply> replies) {
+  private void setupCompleted(
+      PooledSession session, long setupSentNanos, List<SessionReply> replies) {
     long now = parts.clock().nowNanos();
-    SessionReply last = replies.get(replies.size() - 1);
-    int own = demand.begin().isPresent() ? replies.size() - 1 : replies.size();
-    if (replies.subList(0, own).stream().anyMatch(reply -> !reply.succeeded())) {
-      run.note(server, "values-refused");
+    SessionReply lastReply = replies.get(replies.size() - 1);
+    int setupCount = requirement.begin().isPresent() ? replies.size() - 1 : replies.size();
+    if (replies.subList(0, setupCount).stream().anyMatch(reply -> !reply.succeeded())) {
+      run.recordFailure(server, "values-refused");
       parts.discard(server, session);
-      again();
+      retryElsewhere();
       return;
     }
-    routing.answered(server, now, now - asked, false, last.position());
-    if (demand.begin().isPresent() && !last.succeeded()) {
-      refusedBegin(session, last);
+    routing.answered(server, now, now - setupSentNanos, false, lastReply.position());
+    if (requirement.begin().isPresent() && !lastReply.succeeded()) {
+      beginRefused(session, lastReply);
       return;
     }
-    if (demand.needsLead() && demand.begin().isPresent()) {
-      routing.leads(server);
-      last.position().ifPresent(position -> routing.sampled(asked, position));
+    if (requirement.needsPrimary() && requirement.begin().isPresent()) {
+      routing.confirmPrimary(server);
+      lastReply.position().ifPresent(position -> routing.sampled(setupSentNanos, position));
     }
     send(session);
   }
 
-  private void refusedBegin(PooledSession session, SessionReply refusal) {
-    learn(refusal);
+  private void beginRefused(PooledSession session, SessionReply refusal) {
+    recordRefusal(refusal);
     if (refusal.state() == TransactionState.NONE) {
       parts.release(server, session);
     } else {
       parts.rollBackAndRelease(server, session);
     }
-    again();
+    retryElsewhere();
   }
 
-  /** Takes in why a server refused. */
-  private void learn(SessionReply refused) {
+  /** Records why a server refused. */
+  private void recordRefusal(SessionReply refused) {
     RefusalCode code = refused.refusal().orElseThrow().code();
     parts.metrics().refusedByServer(code);
-    run.note(server, code);
+    run.recordFailure(server, code);
     long now = parts.clock().nowNanos();
     if (code == RefusalCode.NOT_PRIMARY) {
       parts.group(task.database().group()).ifPresent(group -> routing.doesNotLead(server, group));
     } else if (code == RefusalCode.BEHIND) {
-      demand.floor().ifPresent(floor -> routing.lacked(server, floor, now));
+      requirement.floor().ifPresent(floor -> routing.recordMissingPosition(server, floor, now));
     } else if (code == RefusalCode.BUSY) {
-      routing.busy(server, now);
+      routing.recordBusy(server, now);
     }
   }
 
   private void send(PooledSession session) {
     sentNanos = parts.clock().nowNanos();
     SessionRequest request =
-        demand.begin().isEmpty()
-            ? demand.floor().map(f -> task.request().after(f.position())).orElse(task.request())
+        requirement.begin().isEmpty()
+            ? requirement
+                .floor()
+                .map(floor -> task.request().after(floor.position()))
+                .orElse(task.request())
             : task.request();
-    if (repeatable() && !demand.keep()) {
-      planSecondSending();
+    if (isRepeatable() && !requirement.keepOpen()) {
+      scheduleHedge();
     }
     session
-        .run(List.of(request), run.untilDeadline())
+        .run(List.of(request), run.timeUntilDeadline())
         .whenComplete(
             (replies, failure) -> {
               if (failure != null) {
-                lost(session, Futures.typed(failure));
+                responseLost(session, Futures.typed(failure));
               } else {
-                answered(session, replies.get(0));
+                replyReceived(session, replies.get(0));
               }
             });
   }
 
-  /** The statements of a transaction run on one connection, so a lost one ends it. */
-  private boolean repeatable() {
+  /**
+   * Returns whether the statement may be repeated on another connection. A commit or rollback may
+   * not: a transaction runs on one connection and ends when that connection is lost.
+   */
+  private boolean isRepeatable() {
     return task.kind() == StatementKind.READ && !task.ending();
   }
 
-  /** Guards against an answer that is lost, or a connection that went silent, under a read. */
-  private void planSecondSending() {
+  /**
+   * Schedules a hedged attempt, which covers a read whose response is lost or whose connection is
+   * unresponsive.
+   */
+  private void scheduleHedge() {
     long millis =
         Math.max(
-            MIN_SECOND_SENDING_MILLIS,
-            (long) (routing.latencyMillis(server) * SECOND_SENDING_LATENCIES));
+            MIN_HEDGE_DELAY_MILLIS, (long) (routing.latencyMillis(server) * HEDGE_LATENCY_FACTOR));
     parts
         .workers()
         .schedule(
             Duration.ofMillis(millis),
             () -> {
-              if (!run.maySendTwice()) {
+              if (!run.reserveHedge()) {
                 return;
               }
               parts.metrics().sentTwice();
-              run.note(server, "slow");
-              run.next();
+              run.recordFailure(server, "slow");
+              run.tryNextServer();
             });
   }
 
-  private void lost(PooledSession session, AlderyardException failure) {
+  private void responseLost(PooledSession session, AlderyardException failure) {
     long now = parts.clock().nowNanos();
-    if (failure.code() == ErrorCode.DEADLINE_EXCEEDED && !demand.needsLead()) {
+    if (failure.code() == ErrorCode.DEADLINE_EXCEEDED && !requirement.needsPrimary()) {
       routing.failed(server, now);
     } else {
       routing.doubted(server, now);
     }
     parts.metrics().lostAnswer();
-    run.note(server, "lost-after-sending");
+    run.recordFailure(server, "lost-after-sending");
     parts.discard(server, session);
-    boolean late = task.deadlineNanos() - now <= 0;
-    if (repeatable() && !demand.keep() && late) {
-      end();
-      run.finish(
-          SessionReply.refused(RefusalCode.TIMED_OUT, "no answer in time", stateAfterRefusal()),
+    boolean deadlinePassed = task.deadlineNanos() - now <= 0;
+    if (isRepeatable() && !requirement.keepOpen() && deadlinePassed) {
+      endAttempt();
+      run.complete(
+          SessionReply.refused(
+              RefusalCode.TIMED_OUT,
+              "the server did not answer before the deadline",
+              stateAfterRefusal()),
           Optional.empty());
-    } else if (repeatable() && !demand.keep()) {
-      again();
+    } else if (isRepeatable() && !requirement.keepOpen()) {
+      retryElsewhere();
     } else {
-      end();
-      boolean nothingKept = demand.keep();
+      endAttempt();
+      boolean nothingCommitted = requirement.keepOpen();
       log.warn(
           "event=statement-lost id={} database={} server={} incarnation={} kind={}"
               + " after-millis={} reason={} outcome={}",
@@ -250,10 +272,10 @@
           task.kind(),
           TimeUnit.NANOSECONDS.toMillis(now - sentNanos),
           failure.code(),
-          nothingKept ? "NOT_KEPT" : "OUTCOME_UNKNOWN");
-      run.finish(
+          nothingCommitted ? "NOT_KEPT" : "OUTCOME_UNKNOWN");
+      run.complete(
           SessionReply.refused(
-              nothingKept ? RefusalCode.ABORTED : RefusalCode.IN_DOUBT,
+              nothingCommitted ? RefusalCode.ABORTED : RefusalCode.IN_DOUBT,
               "the connection to the server was lost",
               stateAfterRefusal()),
           Optional.empty());
@@ -261,41 +283,44 @@
   }
 
   private TransactionState stateAfterRefusal() {
-    return demand.keep() && !task.ending() ? TransactionState.FAILED : TransactionState.NONE;
+    return requirement.keepOpen() && !task.ending()
+        ? TransactionState.FAILED
+        : TransactionState.NONE;
   }
 
-  private void answered(PooledSession session, SessionReply reply) {
+  private void replyReceived(PooledSession session, SessionReply reply) {
     long now = parts.clock().nowNanos();
     routing.answered(server, now, now - sentNanos, !notRun(reply), reply.position());
     parts.metrics().ranAtServer(now - sentNanos);
     if (reply.succeeded()) {
-      logRoutine(now);
-      succeeded(session, reply);
+      logSuccess(now);
+      handleSuccess(session, reply);
       return;
     }
     RefusalCode code = reply.refusal().orElseThrow().code();
-    learn(reply);
-    boolean forgotten = code == RefusalCode.NOT_PREPARED && task.prepared().isPresent();
-    if (forgotten && run.mayPrepareAgain(server)) {
-      session.forget(task.prepared().get());
-      putBack(session, reply);
-      again();
+    recordRefusal(reply);
+    boolean preparedStatementLost = code == RefusalCode.NOT_PREPARED && task.prepared().isPresent();
+    if (preparedStatementLost && run.allowPrepareRetry(server)) {
+      session.removePrepared(task.prepared().get());
+      releaseConnection(session, reply);
+      retryElsewhere();
       return;
     }
-    boolean elsewhere = code == RefusalCode.FAILED && repeatable() && !demand.keep();
-    putBack(session, reply);
+    boolean mayRetryFailure =
+        code == RefusalCode.FAILED && isRepeatable() && !requirement.keepOpen();
+    releaseConnection(session, reply);
     if (notRun(reply) && !(task.ending() && code == RefusalCode.NOT_PRIMARY)) {
-      again();
-    } else if (elsewhere && run.keepFailure(reply.inState(TransactionState.NONE))) {
-      again();
+      retryElsewhere();
+    } else if (mayRetryFailure && run.storeFailure(reply.inState(TransactionState.NONE))) {
+      retryElsewhere();
     } else {
-      end();
+      endAttempt();
       logFailed(code, now);
-      run.finish(reply.inState(stateAfterRefusal()), Optional.empty());
+      run.complete(reply.inState(stateAfterRefusal()), Optional.empty());
     }
   }
 
-  /** A server ran a statement and says that it failed, or refused what nobody else can run. */
+  /** Logs a statement that failed on the server, or a refusal that no other server can resolve. */
   private void logFailed(RefusalCode code, long now) {
     log.info(
         "event=statement-failed-at-server id={} database={} server={} incarnation={} kind={}"
@@ -307,18 +332,18 @@
         task.kind(),
         code,
         TimeUnit.NANOSECONDS.toMillis(now - sentNanos),
-        run.triedCount());
+        run.attemptCount());
   }
 
-  /** Returns whether the server refused before it gave the statement a slot. */
+  /** Returns whether the server refused the statement before assigning it a slot. */
   static boolean notRun(SessionReply reply) {
     return reply.refusedWith(RefusalCode.BUSY)
         || reply.refusedWith(RefusalCode.NOT_PRIMARY)
         || reply.refusedWith(RefusalCode.BEHIND);
   }
 
-  private void logRoutine(long now) {
-    if (!parts.routineLog().due()) {
+  private void logSuccess(long now) {
+    if (!parts.routineLog().shouldLog()) {
       return;
     }
     log.info(
@@ -329,39 +354,39 @@
         server.id(),
         server.incarnation(),
         task.kind(),
-        demand.floor().map(floor -> floor.position().toString()).orElse("lead"),
-        demand
+        requirement.floor().map(floor -> floor.position().toString()).orElse("lead"),
+        requirement
             .floor()
             .map(floor -> TimeUnit.NANOSECONDS.toMillis(now - floor.sinceNanos()))
             .orElse(0L),
         parts.views().current().version(),
         TimeUnit.NANOSECONDS.toMillis(now - sentNanos),
-        run.triedCount());
+        run.attemptCount());
   }
 
-  private void putBack(PooledSession session, SessionReply reply) {
-    if (demand.begin().isPresent() || reply.state() != TransactionState.NONE) {
+  private void releaseConnection(PooledSession session, SessionReply reply) {
+    if (requirement.begin().isPresent() || reply.state() != TransactionState.NONE) {
       parts.rollBackAndRelease(server, session);
     } else {
       parts.release(server, session);
     }
   }
 
-  private void succeeded(PooledSession session, SessionReply reply) {
-    if (task.kind() == StatementKind.WRITE && demand.begin().isEmpty()) {
-      routing.leads(server);
+  private void handleSuccess(PooledSession session, SessionReply reply) {
+    if (task.kind() == StatementKind.WRITE && requirement.begin().isEmpty()) {
+      routing.confirmPrimary(server);
       reply.position().ifPresent(position -> routing.sampled(sentNanos, position));
     }
-    end();
-    if (demand.keep() && !task.ending()) {
+    endAttempt();
+    if (requirement.keepOpen() && !task.ending()) {
       PinnedConnection pinned = new PinnedConnection(parts, server, session);
-      if (!run.finish(reply.inState(TransactionState.OPEN), Optional.of(pinned))) {
+      if (!run.complete(reply.inState(TransactionState.OPEN), Optional.of(pinned))) {
         parts.rollBackAndRelease(server, session);
       }
       return;
     }
-    run.finish(reply.inState(TransactionState.NONE), Optional.empty());
-    if (demand.begin().isPresent() && reply.state() != TransactionState.NONE) {
+    run.complete(reply.inState(TransactionState.NONE), Optional.empty());
+    if (requirement.begin().isPresent() && reply.state() != TransactionState.NONE) {
       parts.rollBackAndRelease(server, session);
     } else {
       parts.release(server, session);
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/StatementRun.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/StatementRun.java
@@ -23,164 +23,173 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Looks for a server that runs one statement.
+ * Runs one statement on a suitable server of its database group.
  *
- * <p>It goes on to another server only while nothing ran that could be kept: after a refusal of the
- * server, after a connection that broke before the statement was sent, and for statements whose
- * second run changes nothing. Everything else after the sending of a write is in doubt.
+ * <p>Another server is tried only if the statement cannot have taken effect: after the server
+ * refused it, after the connection broke before the statement was sent, or if the statement is safe
+ * to repeat. Any other failure after a write was sent leaves the outcome unknown.
  *
- * <p>Lock: the object itself, a leaf; servers are called after it is released.
+ * <p>Locking: the instance monitor is a leaf lock; servers are called after it is released.
  */
 final class StatementRun {
   private static final Logger log = LoggerFactory.getLogger(StatementRun.class);
 
-  /** Long enough for a slot to become free, short against the smallest objective, 100 ms. */
-  private static final long FIRST_PAUSE_MILLIS = 8;
+  /**
+   * Long enough for a slot to become free, short compared with the smallest latency objective, 100
+   * ms.
+   */
+  private static final long INITIAL_BACKOFF_MILLIS = 8;
 
-  private static final long MAX_PAUSE_MILLIS = 64;
+  private static final long MAX_BACKOFF_MILLIS = 64;
 
-  /** The most pairs of a server and a reason that the log line of a refusal has. */
-  private static final int MAX_CAUSES = 12;
+  /**
+   * Maximum number of distinct pairs of server and reason in the log line of a refused statement.
+   */
+  private static final int MAX_LOGGED_REASONS = 12;
 
-  /** A statement that can only begin in its last moments would be sent and be in doubt. */
-  private static final long MIN_RUN_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
+  /**
+   * Minimum time left to send a statement. A statement sent later would be likely to end with an
+   * unknown outcome.
+   */
+  private static final long MIN_EXECUTION_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
 
-  /** A server that forgets a statement each time it is prepared is not asked for ever. */
-  private static final int MAX_PREPARED_AGAIN = 2;
+  /** Bounds the retries on a server that loses a prepared statement each time it is prepared. */
+  private static final int MAX_PREPARE_RETRIES = 2;
 
   private final SessionParts parts;
   private final StatementTask task;
-  private final ServerDemand demand;
+  private final ServerDemand requirement;
   private final GroupRouting routing;
   private final long startNanos;
   private final CompletableFuture<Result> result = new CompletableFuture<>();
   // Guarded by this.
-  private final Set<ServerId> tried = new HashSet<>();
-  private final Map<String, Integer> story = new LinkedHashMap<>();
+  private final Set<ServerId> triedServers = new HashSet<>();
+  private final Map<String, Integer> failureCounts = new LinkedHashMap<>();
   private int attempts;
-  private int active;
-  private int round;
-  private boolean sentTwice;
-  private int preparedAgain;
-  private Optional<SessionReply> failedReply = Optional.empty();
+  private int activeAttempts;
+  private int searchRounds;
+  private boolean hedged;
+  private int prepareRetries;
+  private Optional<SessionReply> failureReply = Optional.empty();
 
-  StatementRun(SessionParts parts, StatementTask task, ServerDemand demand) {
+  StatementRun(SessionParts parts, StatementTask task, ServerDemand requirement) {
     this.parts = parts;
     this.task = task;
-    this.demand = demand;
+    this.requirement = requirement;
     this.routing = parts.routings().of(task.database().group());
     this.startNanos = parts.clock().nowNanos();
   }
 
   /**
-   * How it ended.
+   * Outcome of a statement run.
    *
-   * @param reply the answer for the caller
-   * @param pinned the connection that holds the transaction, where it stays open
+   * @param reply the reply for the caller
+   * @param pinned the connection that holds the transaction, if the transaction stays open
    */
   record Result(SessionReply reply, Optional<PinnedConnection> pinned) {}
 
-  /** Starts; the future never fails. */
+  /** Starts the run; the returned future never completes exceptionally. */
   CompletableFuture<Result> run() {
-    next();
+    tryNextServer();
     return result;
   }
 
-  void next() {
+  void tryNextServer() {
     if (result.isDone()) {
       return;
     }
     long now = parts.clock().nowNanos();
-    Optional<ServerState> choice;
+    Optional<ServerState> selected;
     synchronized (this) {
-      boolean tooLate = task.deadlineNanos() - now < MIN_RUN_NANOS;
-      choice = tooLate ? Optional.empty() : choose(now);
-      if (choice.isPresent()) {
-        tried.add(choice.get().id());
-        active++;
+      boolean deadlineNear = task.deadlineNanos() - now < MIN_EXECUTION_NANOS;
+      selected = deadlineNear ? Optional.empty() : selectServer(now);
+      if (selected.isPresent()) {
+        triedServers.add(selected.get().id());
+        activeAttempts++;
         attempts++;
-      } else if (active > 0) {
-        // Another sending is still under way, and its end comes back here.
+      } else if (activeAttempts > 0) {
+        // Another attempt is in flight; it calls this method again unless it completes the run.
         return;
       }
     }
-    if (choice.isPresent()) {
-      new StatementAttempt(this, choice.get()).start(now);
+    if (selected.isPresent()) {
+      new StatementAttempt(this, selected.get()).start(now);
       return;
     }
-    Outlook outlook = outlook(now);
-    if (outlook.searchOver(now - startNanos, timeNanos(), objectiveNanos())) {
-      giveUp(now, outlook);
+    Outlook searchPolicy = searchPolicy(now);
+    if (searchPolicy.isSearchOver(now - startNanos, timeoutNanos(), objectiveNanos())) {
+      refuse(now, searchPolicy);
       return;
     }
-    waitForNews();
+    waitAndRetry();
   }
 
-  /** Looks again when something has changed, or after a pause. */
-  private void waitForNews() {
-    long pauseMillis;
+  /** Retries when a server may have become available, or after a backoff. */
+  private void waitAndRetry() {
+    long backoffMillis;
     synchronized (this) {
-      pauseMillis = Math.min(MAX_PAUSE_MILLIS, FIRST_PAUSE_MILLIS << Math.min(round, 3));
-      round++;
-      tried.clear();
+      backoffMillis =
+          Math.min(MAX_BACKOFF_MILLIS, INITIAL_BACKOFF_MILLIS << Math.min(searchRounds, 3));
+      searchRounds++;
+      triedServers.clear();
     }
-    WaitingStatements waiting = routing.waiting();
-    WaitingStatements.Waiter waiter =
-        waiting.add(
-            demand.needsLead() ? WaitingStatements.Need.LEAD : WaitingStatements.Need.READ,
+    WaitingStatements waitingStatements = routing.waitingStatements();
+    WaitingStatements.QueuedStatement queued =
+        waitingStatements.add(
+            requirement.needsPrimary() ? WaitingStatements.Need.LEAD : WaitingStatements.Need.READ,
             task.database().priority(),
             task.deadlineNanos(),
-            () -> parts.workers().execute(this::next));
+            () -> parts.workers().execute(this::tryNextServer));
     parts
         .workers()
         .schedule(
-            Duration.ofMillis(pauseMillis),
+            Duration.ofMillis(backoffMillis),
             () -> {
-              if (waiting.remove(waiter)) {
-                next();
+              if (waitingStatements.remove(queued)) {
+                tryNextServer();
               }
             });
   }
 
-  private Optional<ServerState> choose(long now) {
-    return demand.needsLead() ? chooseLead(now) : chooseForRead(now);
+  private Optional<ServerState> selectServer(long now) {
+    return requirement.needsPrimary() ? selectPrimary(now) : selectForRead(now);
   }
 
-  private Optional<ServerState> chooseForRead(long now) {
-    Optional<ServerId> primary = primary();
+  private Optional<ServerState> selectForRead(long now) {
+    Optional<ServerId> primary = presumedPrimary();
     return routing
-        .readOrder(
-            parts.servers(task.database().group()), primary, demand.floor().orElseThrow(), now)
+        .readCandidates(
+            parts.servers(task.database().group()), primary, requirement.floor().orElseThrow(), now)
         .stream()
-        .filter(server -> mayAsk(server, primary.filter(server.id()::equals).isPresent(), now))
+        .filter(server -> mayTry(server, primary.filter(server.id()::equals).isPresent(), now))
         .findFirst();
   }
 
-  private Optional<ServerState> chooseLead(long now) {
+  private Optional<ServerState> selectPrimary(long now) {
     Optional<GroupState> group = parts.group(task.database().group());
     if (group.isEmpty()) {
       return Optional.empty();
     }
     List<ServerState> servers = parts.servers(task.database().group());
-    Optional<ServerState> lead = routing.leadToAsk(servers, group.get(), now);
-    if (lead.isEmpty()) {
-      parts.routings().searchLead(group.get());
+    Optional<ServerState> primary = routing.availablePrimary(servers, group.get(), now);
+    if (primary.isEmpty()) {
+      parts.routings().startPrimarySearch(group.get());
     }
-    return lead.filter(server -> mayAsk(server, true, now));
+    return primary.filter(server -> mayTry(server, true, now));
   }
 
-  private boolean mayAsk(ServerState server, boolean leads, long now) {
-    return !tried.contains(server.id())
-        && !routing.knownToRefuse(server, demand.floor(), leads, now);
+  private boolean mayTry(ServerState server, boolean isPrimary, long now) {
+    return !triedServers.contains(server.id())
+        && !routing.knownToRefuse(server, requirement.floor(), isPrimary, now);
   }
 
-  private Optional<ServerId> primary() {
-    return parts.group(task.database().group()).flatMap(routing::believedPrimary);
+  private Optional<ServerId> presumedPrimary() {
+    return parts.group(task.database().group()).flatMap(routing::presumedPrimary);
   }
 
-  private Outlook outlook(long now) {
+  private Outlook searchPolicy(long now) {
     return new Outlook(
-        demand.needsLead(),
+        requirement.needsPrimary(),
         parts.viewConfirmed().getAsBoolean(),
         parts
             .group(task.database().group())
@@ -188,11 +197,11 @@
             .orElse(OptionalLong.empty()));
   }
 
-  private void giveUp(long now, Outlook outlook) {
-    String reason;
+  private void refuse(long now, Outlook searchPolicy) {
+    String reasons;
     synchronized (this) {
-      reason =
-          story.entrySet().stream()
+      reasons =
+          failureCounts.entrySet().stream()
               .map(entry -> entry.getKey() + "*" + entry.getValue())
               .collect(Collectors.joining(","));
     }
@@ -204,61 +213,67 @@
         task.database().name(),
         task.database().group(),
         task.kind(),
-        demand.needsLead(),
-        demand.floor().map(floor -> floor.position().toString()).orElse("lead"),
+        requirement.needsPrimary(),
+        requirement.floor().map(floor -> floor.position().toString()).orElse("lead"),
         routing.newestSampleAgeNanos(now).map(TimeUnit.NANOSECONDS::toMillis).orElse(-1L),
         parts.views().current().version(),
-        outlook.viewConfirmed(),
-        TimeUnit.NANOSECONDS.toMillis(outlook.primaryLostNanos().orElse(0)),
+        searchPolicy.viewConfirmed(),
+        TimeUnit.NANOSECONDS.toMillis(searchPolicy.primaryUnresponsiveNanos().orElse(0)),
         TimeUnit.NANOSECONDS.toMillis(now - startNanos),
-        outlook.retryAfterMillis(),
-        reason);
-    TransactionState state = demand.keep() ? TransactionState.FAILED : TransactionState.NONE;
-    finish(
-        failedReply.orElseGet(() -> SessionReply.refused(RefusalCode.BUSY, outlook.text(), state)),
+        searchPolicy.retryAfterMillis(),
+        reasons);
+    TransactionState state =
+        requirement.keepOpen() ? TransactionState.FAILED : TransactionState.NONE;
+    complete(
+        failureReply.orElseGet(
+            () -> SessionReply.refused(RefusalCode.BUSY, searchPolicy.message(), state)),
         Optional.empty());
   }
 
-  boolean finish(SessionReply reply, Optional<PinnedConnection> pinned) {
+  boolean complete(SessionReply reply, Optional<PinnedConnection> pinned) {
     boolean first = result.complete(new Result(reply, pinned));
     if (first) {
-      parts.metrics().ended(triedCount());
+      parts.metrics().ended(attemptCount());
     }
     return first;
   }
 
-  /** Returns whether this host's own limits, or those of the server, refused a connection. */
-  static boolean ownLimit(Throwable failure) {
+  /** Returns whether a limit of this host or of the server prevented a connection. */
+  static boolean isConnectionLimit(Throwable failure) {
     ErrorCode code =
         failure instanceof AlderyardException typed ? typed.code() : ErrorCode.INTERNAL;
     return code == ErrorCode.OVERLOADED || code == ErrorCode.NO_ELIGIBLE_SERVER;
   }
 
-  Duration remaining(long capMillis) {
+  Duration remainingTime(long capMillis) {
     long nanos = task.deadlineNanos() - parts.clock().nowNanos();
     long capped = Math.min(nanos, TimeUnit.MILLISECONDS.toNanos(capMillis));
     return Duration.ofNanos(Math.max(1, capped));
   }
 
-  /** Keeps why a server was of no use, for the log; bounded, as each pair is kept once. */
-  synchronized void note(ServerState server, Object why) {
-    String cause = server.id() + ":" + why;
-    if (story.containsKey(cause) || story.size() < MAX_CAUSES) {
-      story.merge(cause, 1, Integer::sum);
+  /**
+   * Records why a server did not run the statement, for the log. Each pair of server and reason is
+   * stored once, which bounds the map.
+   */
+  synchronized void recordFailure(ServerState server, Object reason) {
+    String serverAndReason = server.id() + ":" + reason;
+    if (failureCounts.containsKey(serverAndReason) || failureCounts.size() < MAX_LOGGED_REASONS) {
+      failureCounts.merge(serverAndReason, 1, Integer::sum);
     }
   }
 
-  Duration untilDeadline() {
-    return remaining(Long.MAX_VALUE / 2_000_000);
+  Duration timeUntilDeadline() {
+    return remainingTime(Long.MAX_VALUE / 2_000_000);
   }
 
-  /** Returns how much of the time for the search is left. */
-  Duration searchLeft(long now) {
-    long nanos = outlook(now).searchNanos(timeNanos(), objectiveNanos()) - (now - startNanos);
+  /** Returns how much of the server search time is left, at least 1 ns. */
+  Duration remainingSearchTime(long now) {
+    long nanos =
+        searchPolicy(now).searchNanos(timeoutNanos(), objectiveNanos()) - (now - startNanos);
     return Duration.ofNanos(Math.max(1, nanos));
   }
 
-  private long timeNanos() {
+  private long timeoutNanos() {
     return task.deadlineNanos() - startNanos;
   }
 
@@ -271,35 +286,40 @@
   }
 
   synchronized void attemptEnded() {
-    active--;
+    activeAttempts--;
   }
 
-  /** Returns whether a second sending may begin; it may only once. */
-  synchronized boolean maySendTwice() {
-    boolean may = !result.isDone() && !sentTwice;
-    sentTwice |= may;
-    return may;
+  /**
+   * Reserves the hedged attempt; returns false if it is already reserved or the run is complete.
+   */
+  synchronized boolean reserveHedge() {
+    boolean reserved = !result.isDone() && !hedged;
+    hedged |= reserved;
+    return reserved;
   }
 
-  /** Returns whether a server that forgot the prepared statement is asked once more. */
-  synchronized boolean mayPrepareAgain(ServerState server) {
-    preparedAgain++;
-    if (preparedAgain > MAX_PREPARED_AGAIN) {
+  /** Returns whether to retry on a server that lost the prepared statement. */
+  synchronized boolean allowPrepareRetry(ServerState server) {
+    prepareRetries++;
+    if (prepareRetries > MAX_PREPARE_RETRIES) {
       return false;
     }
-    tried.remove(server.id());
+    triedServers.remove(server.id());
     return true;
   }
 
-  /** Keeps the answer of a read that failed, for when no other server does better. */
-  synchronized boolean keepFailure(SessionReply reply) {
-    boolean first = failedReply.isEmpty();
-    failedReply = first ? Optional.of(reply) : failedReply;
+  /**
+   * Stores the reply of a failed read, which becomes the result if no other server succeeds.
+   * Returns whether it is the first such reply.
+   */
+  synchronized boolean storeFailure(SessionReply reply) {
+    boolean first = failureReply.isEmpty();
+    failureReply = first ? Optional.of(reply) : failureReply;
     return first;
   }
 
-  /** Returns how often it was sent to a server, or tried to be. */
-  synchronized int triedCount() {
+  /** Returns the number of attempts, including those that did not get a connection. */
+  synchronized int attemptCount() {
     return attempts;
   }
 
@@ -311,8 +331,8 @@
     return task;
   }
 
-  ServerDemand demand() {
-    return demand;
+  ServerDemand requirement() {
+    return requirement;
   }
 
   GroupRouting routing() {
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/StatementTask.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/StatementTask.java
@@ -9,15 +9,15 @@
 import org.alderyard.common.view.DatabaseState;
 
 /**
- * One statement that needs a server.
+ * A statement to run on a backend server.
  *
- * @param request what is sent to the server
- * @param kind whether it may change data
- * @param ending whether it ends a transaction
- * @param prepared the prepared statement that it runs
- * @param database its database
- * @param values the values of its session
- * @param deadlineNanos when it must have an answer
+ * @param request the request to send to the server
+ * @param kind whether the statement may change data
+ * @param ending whether the statement ends a transaction
+ * @param prepared the prepared statement to execute, if any
+ * @param database the database of the statement
+ * @param values the session values to apply before the statement
+ * @param deadlineNanos the deadline for the reply, on the monotonic clock
  */
 record StatementTask(
     SessionRequest request,
@@ -28,7 +28,7 @@
     Map<String, String> values,
     long deadlineNanos) {
 
-  /** Copies. */
+  /** Rejects null components and copies the values. */
   StatementTask {
     Objects.requireNonNull(request);
     Objects.requireNonNull(kind);
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/WaitingStatements.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/WaitingStatements.java
@@ -7,75 +7,77 @@
 import java.util.TreeSet;
 
 /**
- * The statements of one group that wait until something is known or free, in one order: those of
- * the first priority first, and among them those that have least time.
+ * Queue of the statements of one group that wait for a server, ordered by priority, then by
+ * deadline.
  *
- * <p>They are woken by small steps: each one that ends lets the next one look, so that what has
- * become free or known is not asked for by all at once.
+ * <p>Each statement that ends notifies the next queued statement. Notifying only a few at a time
+ * keeps the queued statements from all competing at once for a slot or server that became
+ * available.
  *
- * <p>Lock: the object itself, a leaf; those that are woken run after it is released.
+ * <p>Locking: the instance monitor is a leaf lock; retries run after it is released.
  */
 final class WaitingStatements {
-  /** What a statement waits for. */
+  /** What a queued statement waits for. */
   enum Need {
-    /** A server that leads, or a slot at it. */
+    /** The primary, or a free slot on it. */
     LEAD,
-    /** A server that holds the position of a read, or a slot at one. */
+    /** A server that holds the position of a read, or a free slot on such a server. */
     READ
   }
 
   /**
-   * One that waits.
+   * A statement in the queue.
    *
-   * @param need what for
-   * @param priority 0 is served first
-   * @param deadlineNanos when it must have an answer
-   * @param number tells equal ones apart, the older first
-   * @param wake lets it look again
+   * @param need what the statement waits for
+   * @param priority the priority; 0 is served first
+   * @param deadlineNanos the deadline for the reply, on the monotonic clock
+   * @param number the sequence number, which orders otherwise equal statements by arrival
+   * @param retry retries the server search
    */
-  record Waiter(Need need, int priority, long deadlineNanos, long number, Runnable wake) {}
+  record QueuedStatement(
+      Need need, int priority, long deadlineNanos, long number, Runnable retry) {}
 
-  private static final Comparator<Waiter> ORDER =
-      Comparator.comparingInt(Waiter::priority)
-          .thenComparingLong(Waiter::deadlineNanos)
-          .thenComparingLong(Waiter::number);
+  private static final Comparator<QueuedStatement> ORDER =
+      Comparator.comparingInt(QueuedStatement::priority)
+          .thenComparingLong(QueuedStatement::deadlineNanos)
+          .thenComparingLong(QueuedStatement::number);
 
   // Guarded by this.
-  private final TreeSet<Waiter> waiters = new TreeSet<>(ORDER);
+  private final TreeSet<QueuedStatement> queue = new TreeSet<>(ORDER);
   private long lastNumber;
 
-  /** Adds one. */
-  synchronized Waiter add(Need need, int priority, long deadlineNanos, Runnable wake) {
+  /** Queues a statement; the returned entry is needed to remove it. */
+  synchronized QueuedStatement add(Need need, int priority, long deadlineNanos, Runnable retry) {
     lastNumber++;
-    Waiter waiter = new Waiter(need, priority, deadlineNanos, lastNumber, wake);
-    waiters.add(waiter);
-    return waiter;
+    QueuedStatement queued = new QueuedStatement(need, priority, deadlineNanos, lastNumber, retry);
+    queue.add(queued);
+    return queued;
   }
 
-  /** Takes one out; returns false if it was woken already. */
-  synchronized boolean remove(Waiter waiter) {
-    return waiters.remove(waiter);
+  /** Removes a statement; returns false if it was already notified or removed. */
+  synchronized boolean remove(QueuedStatement queued) {
+    return queue.remove(queued);
   }
 
-  /** Lets the first ones that wait for something look again, at most so many. */
-  void wake(Need need, int most) {
-    take(need, most).forEach(waiter -> waiter.wake().run());
+  /** Removes and notifies the first statements with the given need, at most {@code maxCount}. */
+  void notifyFirst(Need need, int maxCount) {
+    removeFirst(need, maxCount).forEach(queued -> queued.retry().run());
   }
 
-  private synchronized List<Waiter> take(Need need, int most) {
-    List<Waiter> taken = new ArrayList<>();
-    Iterator<Waiter> inOrder = waiters.iterator();
-    while (taken.size() < most && inOrder.hasNext()) {
-      Waiter waiter = inOrder.next();
-      if (waiter.need() == need) {
-        inOrder.remove();
-        taken.add(waiter);
+  private synchronized List<QueuedStatement> removeFirst(Need need, int maxCount) {
+    List<QueuedStatement> removed = new ArrayList<>();
+    Iterator<QueuedStatement> iterator = queue.iterator();
+    while (removed.size() < maxCount && iterator.hasNext()) {
+      QueuedStatement queued = iterator.next();
+      if (queued.need() == need) {
+        iterator.remove();
+        removed.add(queued);
       }
     }
-    return taken;
+    return removed;
   }
 
   synchronized int size(Need need) {
-    return (int) waiters.stream().filter(waiter -> waiter.need() == need).count();
+    return (int) queue.stream().filter(queued -> queued.need() == need).count();
   }
 }
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/PeerSamplesTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/PeerSamplesTest.java
@@ -12,23 +12,25 @@
   private static final long SENT_NANOS = TimeUnit.SECONDS.toNanos(100);
 
   @Test
-  void ageOfAnotherHostsSampleCountsFromBeforeTheQuestion() {
-    // Another host's answer is held up on its way for a second. Counted from its arrival, the
-    // sample would look a second younger than it is, and a read would be older than it may be.
+  void ageOfPeerSampleIsSubtractedFromTheTimeOfTheRequest() {
+    // The reply of another host is delayed by a second. If the age were subtracted from the time of
+    // arrival, the sample would look a second too recent and a read could exceed its staleness
+    // limit.
     PositionSampleReply reply =
         PositionSampleReply.newBuilder()
             .setPosition(LogPosition.newBuilder().setTerm(3).setIndex(7))
             .setAgeMicros(TimeUnit.MILLISECONDS.toMicros(400))
             .build();
 
-    PositionSamples.Sample sample = PeerSamples.sample(reply, SENT_NANOS).orElseThrow();
+    PositionSamples.Sample sample = PeerSamples.decodeSample(reply, SENT_NANOS).orElseThrow();
 
     assertThat(sample.position()).isEqualTo(new Position(3, 7));
-    assertThat(sample.askedNanos()).isEqualTo(SENT_NANOS - TimeUnit.MILLISECONDS.toNanos(400));
+    assertThat(sample.requestedNanos()).isEqualTo(SENT_NANOS - TimeUnit.MILLISECONDS.toNanos(400));
   }
 
   @Test
-  void hostWithoutSampleGivesNone() {
-    assertThat(PeerSamples.sample(PositionSampleReply.getDefaultInstance(), SENT_NANOS)).isEmpty();
+  void replyWithoutPositionContainsNoSample() {
+    assertThat(PeerSamples.decodeSample(PositionSampleReply.getDefaultInstance(), SENT_NANOS))
+        .isEmpty();
   }
 }
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/PositionSamplesTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/PositionSamplesTest.java
@@ -18,7 +18,7 @@
   }
 
   @Test
-  void oldestSampleWithinTheBoundIsUsed() {
+  void oldestSampleWithinStalenessLimitIsUsed() {
     samples.add(millis(100), at(1, 10));
     samples.add(millis(200), at(1, 20));
     samples.add(millis(300), at(1, 30));
@@ -29,9 +29,9 @@
   }
 
   @Test
-  void sampleOfLaterTermReplacesAllOfEarlierOnes() {
-    // What an earlier primary said may name commits that were lost with it: no server would ever
-    // hold them, and reads would be refused.
+  void sampleOfLaterTermReplacesAllEarlierSamples() {
+    // The position of an earlier primary may cover commits that were lost with it. No server would
+    // ever hold that position, and reads would be refused.
     samples.add(millis(100), at(1, 50));
     samples.add(millis(200), at(2, 40));
 
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void sampleOfAnEarlierTermThatComesLateIsIgnored() {
+  void delayedSampleOfEarlierTermIsIgnored() {
     samples.add(millis(100), at(2, 40));
     samples.add(millis(200), at(1, 60));
 
@@ -48,9 +48,9 @@
   }
 
   @Test
-  void samplesAreForgottenWhenTheHostWasSuspended() {
-    // A host is suspended for seconds. Its monotonic clock stood still, so a sample from before
-    // looks young, and a read would be older than it may be. The time of day went on.
+  void samplesAreRemovedAfterHostSuspension() {
+    // The monotonic clock stops while a host is suspended for seconds, so that old samples look
+    // recent and a read could exceed its staleness limit. The wall clock continues.
     samples.checkClocks(millis(100), 1_000);
     samples.add(millis(100), at(1, 10));
     samples.checkClocks(millis(110), 1_010);
@@ -62,13 +62,13 @@
   }
 
   @Test
-  void denseSamplesAreThinnedAndTheNewestIsKept() {
+  void closeSamplesAreThinnedAndTheNewestIsKept() {
     for (int i = 0; i < 10_000; i++) {
       samples.add(millis(i), at(1, i + 1));
     }
 
     assertThat(samples.newest().orElseThrow().position()).isEqualTo(at(1, 10_000));
-    assertThat(samples.oldestWithin(millis(10_000), millis(1_000)).orElseThrow().askedNanos())
+    assertThat(samples.oldestWithin(millis(10_000), millis(1_000)).orElseThrow().requestedNanos())
         .isAtMost(millis(9_030));
   }
 }
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/ReadFreshnessTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/ReadFreshnessTest.java
@@ -21,9 +21,9 @@
   }
 
   @Test
-  void callerReadsItsOwnWriteThoughItsReplicaLags() {
-    // A coordinator moves a room and opens the calendar; the replica in her zone has not received
-    // the move. Reading there would show the old room.
+  void callerReadsItsOwnWriteWhenReplicaLags() {
+    // The replica in the caller's zone has not yet received the caller's last write. A read there
+    // would return the old room.
     SessionFixture.Caller caller = fixture.caller(SessionFixture.OWN_WRITES);
     caller.write("room", "old");
     fixture.group.replicate();
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void boundedReadGoesToTheReplicaThatHoldsTheSample() {
+  void boundedReadRunsOnReplicaThatHoldsTheSample() {
     SessionFixture.Caller writer = fixture.caller(SessionFixture.NEWEST);
     writer.write("room", "old");
     fixture.group.replicate();
@@ -46,9 +46,9 @@
   }
 
   @Test
-  void newestReadIsNotAnsweredByReplacedPrimary() {
-    // The primary was replaced, but the view does not say so yet. A read that stands alone is not
-    // refused by the old primary, and would miss what the new one acknowledged.
+  void newestReadDoesNotRunOnReplacedPrimary() {
+    // The primary has been replaced, but the view does not show it yet. The old primary does not
+    // refuse a standalone read, which would miss writes that the new primary acknowledged.
     SessionFixture.Caller caller = fixture.caller(SessionFixture.NEWEST);
     caller.write("order", "1");
     fixture.group.replicate();
@@ -61,8 +61,8 @@
 
   @Test
   void sessionWhoseWriteWasLostWithItsPrimaryStillReads() {
-    // A write was acknowledged and lost with its primary. No server will ever hold its position;
-    // the session must not wait for it for ever.
+    // An acknowledged write was lost with its primary. No server will ever hold its position, so
+    // the session must not wait for that position forever.
     SessionFixture.Caller caller = fixture.caller(SessionFixture.OWN_WRITES);
     caller.write("room", "kept");
     fixture.group.replicate();
@@ -76,8 +76,9 @@
   }
 
   @Test
-  void readWithoutAnyWayToProveItsAgeIsRefusedAsNotRun() {
-    // The primary is gone and there is no sample: no replica can show how old it is.
+  void readWithoutProvableStalenessIsRefusedAsNotRun() {
+    // The primary is unreachable and there is no sample, so no replica can prove that it is recent
+    // enough.
     fixture.group.server("s1").unreachable(true);
 
     assertThat(
@@ -90,35 +91,35 @@
   }
 
   @Test
-  void readsOfHostThatHasJustStartedDoNotFloodThePrimary() {
-    // All hosts lost power and came back. Callers who had waited read at once, no host had a
-    // sample, and each read turned to the primary: it ran five at a time, the others waited for
-    // half a second and were refused, while the replicas had nothing to do.
+  void readsOfNewlyStartedHostDoNotOverloadPrimary() {
+    // All hosts restart after a power failure and have no sample when waiting callers read. Each
+    // read went to the primary, which ran five at a time; the others waited for half a second and
+    // were refused, while the replicas were idle.
     ModelServer primary = fixture.group.server("s1");
     fixture.caller(SessionFixture.NEWEST).write("room", "1");
     fixture.group.replicate();
     SessionFixture restarted = new SessionFixture("z1", fixture.group);
     primary.hold();
-    List<CompletableFuture<SessionReply>> answers = new ArrayList<>();
+    List<CompletableFuture<SessionReply>> replies = new ArrayList<>();
     for (int caller = 0; caller < 20; caller++) {
-      answers.add(
+      replies.add(
           restarted
               .caller(SessionFixture.BOUNDED)
               .session
               .handle("r" + caller, new SessionStatement.Read("room")));
     }
     primary.letGo();
-    answers.forEach(answer -> assertThat(answer.join().rows()).containsExactly("1"));
+    replies.forEach(reply -> assertThat(reply.join().rows()).containsExactly("1"));
 
-    // One write of before, and no read.
+    // The write from before the restart, and no read.
     assertThat(primary.ran()).hasSize(1);
     restarted.close();
   }
 
   @Test
-  void sampleIsAskedElsewhereWhenTheBelievedPrimaryWasReplaced() {
+  void sampleIsRequestedFromNextServerWhenPresumedPrimaryWasReplaced() {
     // The view lags behind a change of primary. Reads that wait for a sample get it from the next
-    // server at once; before, each had to ask for itself.
+    // server immediately, instead of searching on their own.
     fixture.group.promote("s2");
 
     assertThat(fixture.caller(SessionFixture.BOUNDED).read("room").succeeded()).isTrue();
@@ -126,9 +127,9 @@
   }
 
   @Test
-  void sampleIsAskedOfEachServerOnceUntilOneLeads() {
-    // The third server was appointed. The question went to the second one again and again, as it
-    // stayed the most likely, and the reads that waited had to ask for themselves after all.
+  void sampleIsRequestedOncePerServerUntilPrimaryIsFound() {
+    // The third server was promoted. The sample request was repeated on the second server, which
+    // remained the most likely primary, so that each waiting read had to search on its own.
     fixture.group.promote("s3");
 
     assertThat(fixture.caller(SessionFixture.BOUNDED).read("room").succeeded()).isTrue();
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/ServerRefusalsTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/ServerRefusalsTest.java
@@ -16,53 +16,53 @@
   }
 
   @Test
-  void serverWithoutSlotIsAskedByOneStatementAfterEachPause() {
-    refusals.busy(at(0));
-    assertThat(refusals.busyNow(at(3))).isTrue();
-    assertThat(refusals.busyNow(at(4))).isFalse();
+  void busyServerIsRetriedByOneStatementAfterEachBackoff() {
+    refusals.recordBusy(at(0));
+    assertThat(refusals.isBusy(at(3))).isTrue();
+    assertThat(refusals.isBusy(at(4))).isFalse();
 
-    refusals.asked(at(4));
+    refusals.recordAttempt(at(4));
 
-    assertThat(refusals.busyNow(at(5))).isTrue();
+    assertThat(refusals.isBusy(at(5))).isTrue();
   }
 
   @Test
-  void pausesGrowToBoundWhileServerStaysBusy() {
+  void backoffGrowsToMaximumWhileServerStaysBusy() {
     for (int i = 0; i < 20; i++) {
-      refusals.busy(at(0));
+      refusals.recordBusy(at(0));
     }
-    assertThat(refusals.busyNow(at(63))).isTrue();
-    assertThat(refusals.busyNow(at(64))).isFalse();
+    assertThat(refusals.isBusy(at(63))).isTrue();
+    assertThat(refusals.isBusy(at(64))).isFalse();
   }
 
   @Test
-  void workThatWasTakenEndsThePause() {
-    refusals.busy(at(0));
-    refusals.tookWork();
-    assertThat(refusals.busyNow(at(1))).isFalse();
+  void acceptedStatementEndsBackoff() {
+    refusals.recordBusy(at(0));
+    refusals.recordAccepted();
+    assertThat(refusals.isBusy(at(1))).isFalse();
   }
 
   @Test
-  void replicaIsNotAskedForPositionBeforeItIsExpectedToHaveIt() {
-    refusals.lacked(new Position(1, 50), at(0), at(120));
+  void replicaIsNotRetriedBeforeItIsExpectedToHoldPosition() {
+    refusals.recordMissingPosition(new Position(1, 50), at(0), at(120));
 
-    assertThat(refusals.lacks(new Position(1, 50), at(119))).isTrue();
-    assertThat(refusals.lacks(new Position(1, 49), at(119))).isFalse();
-    assertThat(refusals.lacks(new Position(1, 50), at(120))).isFalse();
+    assertThat(refusals.isMissing(new Position(1, 50), at(119))).isTrue();
+    assertThat(refusals.isMissing(new Position(1, 49), at(119))).isFalse();
+    assertThat(refusals.isMissing(new Position(1, 50), at(120))).isFalse();
   }
 
   @Test
-  void estimateThatIsFarTooLongCostsBoundedTime() {
-    refusals.lacked(new Position(1, 50), at(0), at(9_000));
-    assertThat(refusals.lacks(new Position(1, 50), at(250))).isFalse();
+  void overestimatedLagDelaysRetryByBoundedTime() {
+    refusals.recordMissingPosition(new Position(1, 50), at(0), at(9_000));
+    assertThat(refusals.isMissing(new Position(1, 50), at(250))).isFalse();
   }
 
   @Test
-  void replicaThatShowsThePositionIsAskedAgain() {
-    refusals.lacked(new Position(1, 50), at(0), at(120));
-    refusals.shows(new Position(1, 49));
-    assertThat(refusals.lacks(new Position(1, 50), at(10))).isTrue();
-    refusals.shows(new Position(1, 50));
-    assertThat(refusals.lacks(new Position(1, 50), at(10))).isFalse();
+  void replicaThatReportsPositionIsRetried() {
+    refusals.recordMissingPosition(new Position(1, 50), at(0), at(120));
+    refusals.recordPosition(new Position(1, 49));
+    assertThat(refusals.isMissing(new Position(1, 50), at(10))).isTrue();
+    refusals.recordPosition(new Position(1, 50));
+    assertThat(refusals.isMissing(new Position(1, 50), at(10))).isFalse();
   }
 }
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/StatementRunTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/StatementRunTest.java
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void busyPrimaryIsAskedAgainUntilItHasRoom() {
+  void busyPrimaryIsRetriedUntilItHasFreeSlot() {
     fixture.group.server("s1").busy(2);
 
     assertThat(fixture.caller(SessionFixture.NEWEST).write("a", "1").succeeded()).isTrue();
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void primaryThatStaysBusyIsGivenUpAndNothingRan() {
+  void writeIsRefusedAsNotRunWhenPrimaryStaysBusy() {
     fixture.group.server("s1").busy(10_000);
 
     SessionReply reply = fixture.caller(SessionFixture.NEWEST).write("a", "1");
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void readWhoseAnswerIsLostIsRunByAnotherServer() {
+  void readWhoseResponseIsLostRunsOnAnotherServer() {
     fixture.caller(SessionFixture.NEWEST).write("room", "old");
     fixture.group.replicate();
     fixture.advance(SessionFixture.STALENESS_MILLIS / 2);
@@ -50,8 +50,9 @@
   }
 
   @Test
-  void readThatFailsOnOneServerIsRunByAnother() {
-    // A server's health probe is good, and part of its statements fail. A read may run elsewhere.
+  void readThatFailsOnOneServerRunsOnAnother() {
+    // The health probe of a server succeeds while some of its statements fail. A read may run on
+    // another server.
     fixture.caller(SessionFixture.NEWEST).write("room", "old");
     fixture.group.replicate();
     fixture.advance(SessionFixture.STALENESS_MILLIS / 2);
@@ -61,9 +62,9 @@
   }
 
   @Test
-  void silentReplicaCostsReadShortWaitOnly() {
-    // A replica stops answering without closing anything: only time tells. The read goes to a
-    // second server long before its own time is over.
+  void unresponsiveReplicaDelaysReadOnlyBriefly() {
+    // A replica stops responding without closing its connections, which only a timeout detects. The
+    // read is sent to a second server long before its own deadline.
     fixture.caller(SessionFixture.NEWEST).write("room", "old");
     fixture.group.replicate();
     fixture.advance(SessionFixture.STALENESS_MILLIS / 2);
@@ -74,7 +75,7 @@
   }
 
   @Test
-  void writeFindsTheNewPrimaryBeforeTheViewDoes() {
+  void writeFindsNewPrimaryBeforeViewIsUpdated() {
     SessionFixture.Caller caller = fixture.caller(SessionFixture.NEWEST);
     caller.write("a", "1");
     fixture.group.replicate();
@@ -85,25 +86,25 @@
   }
 
   @Test
-  void brokenConnectionToLivingPrimaryStopsNoWrites() {
-    // Answers are lost with their connections now and then. If each made the host leave the
-    // primary alone for a while, writes would stop though the primary is there.
+  void brokenConnectionToAvailablePrimaryDoesNotPauseWrites() {
+    // Responses are occasionally lost with their connections. If each loss caused a backoff, writes
+    // would pause although the primary is available.
     SessionFixture.Caller caller = fixture.caller(SessionFixture.NEWEST);
     fixture.group.server("s1").loseAnswers(1);
     assertThat(caller.write("a", "1").refusedWith(RefusalCode.IN_DOUBT)).isTrue();
 
-    long before = System.nanoTime();
+    long nowNanos = System.nanoTime();
     assertThat(caller.write("a", "2").succeeded()).isTrue();
     GroupRouting routing = new GroupRouting(new ZoneName("z1"));
-    routing.doubted(fixture.group.states().get(0), before);
-    assertThat(routing.paused(fixture.group.states().get(0), before)).isFalse();
+    routing.doubted(fixture.group.states().get(0), nowNanos);
+    assertThat(routing.inBackoff(fixture.group.states().get(0), nowNanos)).isFalse();
   }
 
   @Test
-  void writeThatCouldOnlyBeginInItsLastMomentsIsRefusedAsNotRun() throws Exception {
-    // All connections were in use until a write's time was nearly over. To send it then would
-    // leave it in doubt; not to send it lets its caller try again.
-    StatementTask late =
+  void writeNearItsDeadlineIsRefusedAsNotRun() throws Exception {
+    // All connections were in use until shortly before the deadline of a write. Sending the write
+    // then would leave its outcome unknown; refusing it lets the caller retry.
+    StatementTask nearDeadline =
         new StatementTask(
             SessionRequest.of("q", new Write("a", "1")),
             StatementKind.WRITE,
@@ -114,7 +115,7 @@
             System.nanoTime() + 1_000_000);
 
     SessionReply reply =
-        new StatementRun(fixture.parts(), late, ServerDemand.lead()).run().get().reply();
+        new StatementRun(fixture.parts(), nearDeadline, ServerDemand.primary()).run().get().reply();
 
     assertThat(reply.refusedWith(RefusalCode.BUSY)).isTrue();
     assertThat(fixture.group.server("s1").ran()).isEmpty();
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/WaitingStatementsTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/WaitingStatementsTest.java
@@ -9,61 +9,62 @@
 
 class WaitingStatementsTest {
   private final WaitingStatements waiting = new WaitingStatements();
-  private final List<String> woken = new ArrayList<>();
+  private final List<String> notified = new ArrayList<>();
 
-  private WaitingStatements.Waiter add(String name, Need need, int priority, long deadlineNanos) {
-    return waiting.add(need, priority, deadlineNanos, () -> woken.add(name));
+  private WaitingStatements.QueuedStatement add(
+      String name, Need need, int priority, long deadlineNanos) {
+    return waiting.add(need, priority, deadlineNanos, () -> notified.add(name));
   }
 
   @Test
-  void firstPriorityComesFirstAndThenWhoHasLeastTime() {
+  void statementsAreOrderedByPriorityThenDeadline() {
     add("late", Need.LEAD, 1, 300);
     add("soon", Need.LEAD, 1, 100);
     add("important", Need.LEAD, 0, 900);
 
-    waiting.wake(Need.LEAD, 3);
+    waiting.notifyFirst(Need.LEAD, 3);
 
-    assertThat(woken).containsExactly("important", "soon", "late").inOrder();
+    assertThat(notified).containsExactly("important", "soon", "late").inOrder();
   }
 
   @Test
-  void asManyAreWokenAsAskedForAndTheOthersWaitOn() {
+  void atMostMaxCountStatementsAreNotified() {
     add("a", Need.READ, 1, 100);
     add("b", Need.READ, 1, 200);
 
-    waiting.wake(Need.READ, 1);
+    waiting.notifyFirst(Need.READ, 1);
 
-    assertThat(woken).containsExactly("a");
+    assertThat(notified).containsExactly("a");
     assertThat(waiting.size(Need.READ)).isEqualTo(1);
   }
 
   @Test
-  void whatOneKindWaitsForDoesNotWakeTheOther() {
+  void onlyStatementsWithTheGivenNeedAreNotified() {
     add("write", Need.LEAD, 1, 100);
 
-    waiting.wake(Need.READ, 5);
+    waiting.notifyFirst(Need.READ, 5);
 
-    assertThat(woken).isEmpty();
+    assertThat(notified).isEmpty();
   }
 
   @Test
-  void equalOnesAreKeptApart() {
+  void statementsWithEqualPriorityAndDeadlineAreBothQueued() {
     add("a", Need.LEAD, 1, 100);
     add("b", Need.LEAD, 1, 100);
 
-    waiting.wake(Need.LEAD, 2);
+    waiting.notifyFirst(Need.LEAD, 2);
 
-    assertThat(woken).containsExactly("a", "b").inOrder();
+    assertThat(notified).containsExactly("a", "b").inOrder();
   }
 
   @Test
-  void oneThatStoppedWaitingIsNotWoken() {
-    WaitingStatements.Waiter waiter = add("a", Need.LEAD, 1, 100);
+  void removedStatementIsNotNotified() {
+    WaitingStatements.QueuedStatement queued = add("a", Need.LEAD, 1, 100);
 
-    assertThat(waiting.remove(waiter)).isTrue();
-    waiting.wake(Need.LEAD, 1);
+    assertThat(waiting.remove(queued)).isTrue();
+    waiting.notifyFirst(Need.LEAD, 1);
 
-    assertThat(woken).isEmpty();
-    assertThat(waiting.remove(waiter)).isFalse();
+    assertThat(notified).isEmpty();
+    assertThat(waiting.remove(queued)).isFalse();
   }
 }
