--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/CallerSession.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/CallerSession.java
@@ -30,62 +30,66 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One caller's session: its values, prepared statements, own writes and transaction.
+ * The session of one caller: its values, prepared statements, last writes and transaction.
  *
- * <p>The port hands over one statement at a time, the next one after the answer to the one before;
- * only {@link #close()}, {@link #endIdleTransaction} and {@link #abort()} may come in between. What
- * those touch is in {@link OpenTransaction}, under its lock.
+ * <p>{@link #handle} is called for one statement at a time, after the reply to the previous one.
+ * Only {@link #close()}, {@link #endIdleTransaction} and {@link #abort()} may run concurrently with
+ * a statement; the state that they modify is in {@link OpenTransaction}, guarded by its lock.
  */
 public final class CallerSession {
   private static final Logger log = LoggerFactory.getLogger(CallerSession.class);
 
-  /** The most values of one session; more would only be a way to fill the host's memory. */
-  private static final int MAX_VALUES = 1_000;
+  /**
+   * Maximum number of values, and of prepared statements; bounds the memory that one caller can
+   * use.
+   */
+  private static final int MAX_ENTRIES = 1_000;
 
   private final SessionParts parts;
-  private final LocalStatements here;
-  private final Forwarding forwarding;
+  private final LocalStatements local;
+  private final StatementForwarder forwarder;
   private final String databaseName;
   private final Map<String, String> values = new LinkedHashMap<>();
   private final Map<String, Prepare> prepared = new HashMap<>();
-  private final Map<GroupId, GroupRouting.Floor> written = new HashMap<>();
+  private final Map<GroupId, GroupRouting.Floor> lastWrites = new HashMap<>();
   private volatile TransactionState state = TransactionState.NONE;
   private volatile Optional<OpenTransaction> transaction = Optional.empty();
   private volatile boolean busy;
   private volatile boolean closed;
 
-  CallerSession(LocalStatements here, Forwarding forwarding, String databaseName) {
-    this.parts = here.parts();
-    this.here = here;
-    this.forwarding = forwarding;
+  CallerSession(LocalStatements local, StatementForwarder forwarder, String databaseName) {
+    this.parts = local.parts();
+    this.local = local;
+    this.forwarder = forwarder;
     this.databaseName = databaseName;
   }
 
   /**
-   * Answers one statement.
+   * Runs one statement.
    *
-   * @param id the caller's name for it
-   * @return never fails
+   * @param id the caller's identifier of the statement
+   * @return a future that never fails; failures are reported as refusals
    */
   public CompletableFuture<SessionReply> handle(String id, SessionStatement statement) {
     busy = true;
     long start = parts.clock().nowNanos();
-    CompletableFuture<SessionReply> answer;
+    CompletableFuture<SessionReply> result;
     try {
-      answer = dispatch(id, statement);
-    } catch (RuntimeException unexpected) {
-      answer = CompletableFuture.failedFuture(unexpected);
+      result = dispatch(id, statement);
+    } catch (RuntimeException failure) {
+      result = CompletableFuture.failedFuture(failure);
     }
-    return answer
-        .exceptionally(failure -> internal(id, failure))
+    return result
+        .exceptionally(failure -> internalError(id, failure))
         .thenApply(
             reply -> {
               state = reply.state();
               long now = parts.clock().nowNanos();
-              transaction.ifPresent(open -> open.rest(now));
+              transaction.ifPresent(open -> open.endStatement(now));
               database()
                   .ifPresent(
-                      database -> parts.metrics().answered(database.reads(), reply, now - start));
+                      database ->
+                          parts.metrics().recordStatement(database.reads(), reply, now - start));
               busy = false;
               if (closed) {
                 rollBack();
@@ -94,48 +98,51 @@
             });
   }
 
-  private SessionReply internal(String id, Throwable failure) {
+  private SessionReply internalError(String id, Throwable failure) {
     log.error("event=statement-failed id={} outcome=OUTCOME_UNKNOWN", id, Futures.unwrap(failure));
     rollBack();
-    return SessionReply.refused(RefusalCode.IN_DOUBT, "internal error", failed());
+    return SessionReply.refused(RefusalCode.IN_DOUBT, "internal error", failedState());
   }
 
   private CompletableFuture<SessionReply> dispatch(String id, SessionStatement statement) {
-    if (state == TransactionState.FAILED && !ends(statement)) {
-      return refuse(RefusalCode.MALFORMED, "the transaction failed; it can only be ended", state);
+    if (state == TransactionState.FAILED && !endsTransaction(statement)) {
+      return refuse(
+          RefusalCode.MALFORMED,
+          "the transaction has failed; end it with a commit or a rollback",
+          state);
     }
-    if (statement instanceof SetValue set) {
-      return setValue(set);
+    if (statement instanceof SetValue setValue) {
+      return setValue(setValue);
     }
     if (statement instanceof Prepare prepare) {
       return prepare(prepare);
     }
     if (statement instanceof Deallocate deallocate) {
       return prepared.remove(deallocate.name()) == null
-          ? refuse(RefusalCode.NOT_PREPARED, deallocate.name(), failed())
-          : done(state);
+          ? refuse(RefusalCode.NOT_PREPARED, deallocate.name(), failedState())
+          : succeed(state);
     }
     if (statement instanceof Begin begin) {
       return begin(begin);
     }
     if (statement instanceof Rollback) {
-      return rollBackAsked();
+      return rollBackByCaller();
     }
     if (statement instanceof Commit) {
       return commit(id);
     }
-    return onServer(id, statement);
+    return runOnServer(id, statement);
   }
 
-  private static boolean ends(SessionStatement statement) {
+  private static boolean endsTransaction(SessionStatement statement) {
     return statement instanceof Commit || statement instanceof Rollback;
   }
 
-  private TransactionState failed() {
+  private TransactionState failedState() {
     return state == TransactionState.NONE ? TransactionState.NONE : TransactionState.FAILED;
   }
 
-  private static CompletableFuture<SessionReply> done(TransactionState state) {
+  private static CompletableFuture<SessionReply> succeed(TransactionState state) {
     return CompletableFuture.completedFuture(SessionReply.done(state));
   }
 
@@ -147,30 +154,34 @@
     return CompletableFuture.completedFuture(SessionReply.refused(code, text, next));
   }
 
-  private CompletableFuture<SessionReply> setValue(SetValue set) {
-    if (values.size() >= MAX_VALUES && !values.containsKey(set.name())) {
-      return refuse(RefusalCode.TOO_LARGE, "at most " + MAX_VALUES + " values", failed());
+  private CompletableFuture<SessionReply> setValue(SetValue setValue) {
+    if (values.size() >= MAX_ENTRIES && !values.containsKey(setValue.name())) {
+      return refuse(
+          RefusalCode.TOO_LARGE, "a session has at most " + MAX_ENTRIES + " values", failedState());
     }
-    values.put(set.name(), set.value());
-    return done(state);
+    values.put(setValue.name(), setValue.value());
+    return succeed(state);
   }
 
   private CompletableFuture<SessionReply> unknownDatabase() {
-    Refusal unknown = parts.unknown(databaseName);
+    Refusal unknown = parts.unknownDatabase(databaseName);
     return refuse(unknown.code(), unknown.text(), TransactionState.NONE);
   }
 
   private CompletableFuture<SessionReply> prepare(Prepare prepare) {
-    if (prepared.size() >= MAX_VALUES && !prepared.containsKey(prepare.name())) {
-      return refuse(RefusalCode.TOO_LARGE, "at most " + MAX_VALUES + " statements", failed());
+    if (prepared.size() >= MAX_ENTRIES && !prepared.containsKey(prepare.name())) {
+      return refuse(
+          RefusalCode.TOO_LARGE,
+          "a session has at most " + MAX_ENTRIES + " prepared statements",
+          failedState());
     }
     prepared.put(prepare.name(), prepare);
-    return done(state);
+    return succeed(state);
   }
 
   private CompletableFuture<SessionReply> begin(Begin begin) {
     if (state != TransactionState.NONE) {
-      return refuse(RefusalCode.MALFORMED, "a transaction is open", failed());
+      return refuse(RefusalCode.MALFORMED, "a transaction is already open", failedState());
     }
     Optional<DatabaseState> database = database();
     if (database.isEmpty()) {
@@ -179,7 +190,7 @@
     transaction =
         Optional.of(
             new OpenTransaction(database.get(), begin.readOnly(), parts.clock().nowNanos()));
-    return done(TransactionState.OPEN);
+    return succeed(TransactionState.OPEN);
   }
 
   private Optional<DatabaseState> database() {
@@ -190,24 +201,24 @@
         .flatMap(configuration -> configuration.database(databaseName));
   }
 
-  private CompletableFuture<SessionReply> rollBackAsked() {
+  private CompletableFuture<SessionReply> rollBackByCaller() {
     if (state == TransactionState.NONE) {
       return refuse(RefusalCode.MALFORMED, "no transaction is open", TransactionState.NONE);
     }
     rollBack();
-    return done(TransactionState.NONE);
+    return succeed(TransactionState.NONE);
   }
 
-  /** What its transaction asks of the session. */
-  private final class Owner implements TransactionOwner {
+  /** Gives a transaction access to the state of its session. */
+  private final class SessionTransactionOwner implements TransactionOwner {
     @Override
-    public CompletableFuture<Optional<GroupRouting.Floor>> floor(DatabaseState database) {
-      return here.floors().floor(database, written(database));
+    public CompletableFuture<Optional<GroupRouting.Floor>> readFloor(DatabaseState database) {
+      return local.floors().floor(database, lastWrite(database));
     }
 
     @Override
-    public void remember(DatabaseState database, SessionReply reply) {
-      CallerSession.this.remember(database, reply);
+    public void recordWrite(DatabaseState database, SessionReply reply) {
+      CallerSession.this.recordWrite(database, reply);
     }
 
     @Override
@@ -228,17 +239,17 @@
   }
 
   private static void rollBack(OpenTransaction open) {
-    open.end().ifPresent(TransactionPlace::rollBack);
+    open.end().ifPresent(TransactionLocation::rollBack);
   }
 
   private CompletableFuture<SessionReply> commit(String id) {
     if (state == TransactionState.NONE) {
       return refuse(RefusalCode.MALFORMED, "no transaction is open", TransactionState.NONE);
     }
-    Optional<OpenTransaction> open = transaction.filter(OpenTransaction::begin);
+    Optional<OpenTransaction> open = transaction.filter(OpenTransaction::beginStatement);
     if (state == TransactionState.FAILED || open.isEmpty()) {
       rollBack();
-      return refuse(RefusalCode.ABORTED, "the transaction kept nothing", TransactionState.NONE);
+      return refuse(RefusalCode.ABORTED, "the transaction was rolled back", TransactionState.NONE);
     }
     StatementTask task =
         task(
@@ -250,101 +261,120 @@
     return run(open.get(), task);
   }
 
-  private CompletableFuture<SessionReply> onServer(String id, SessionStatement statement) {
-    Optional<Prepare> shape = Optional.empty();
-    SessionStatement sent = statement;
+  private CompletableFuture<SessionReply> runOnServer(String id, SessionStatement statement) {
+    Optional<Prepare> preparedStatement = Optional.empty();
+    SessionStatement serverStatement = statement;
     StatementKind kind;
     if (statement instanceof Read) {
       kind = StatementKind.READ;
     } else if (statement instanceof Write) {
       kind = StatementKind.WRITE;
     } else if (statement instanceof Execute execute) {
-      shape = Optional.ofNullable(prepared.get(execute.name()));
-      if (shape.isEmpty()) {
-        return refuse(RefusalCode.NOT_PREPARED, execute.name(), failed());
+      preparedStatement = Optional.ofNullable(prepared.get(execute.name()));
+      if (preparedStatement.isEmpty()) {
+        return refuse(RefusalCode.NOT_PREPARED, execute.name(), failedState());
       }
-      kind = shape.get().kind();
+      kind = preparedStatement.get().kind();
       if ((kind == StatementKind.WRITE) != execute.data().isPresent()) {
-        return refuse(RefusalCode.MALFORMED, "data is for statements that write", failed());
+        return refuse(
+            RefusalCode.MALFORMED,
+            "data is required for writes and not allowed for reads",
+            failedState());
       }
-      sent = new Execute(PooledSession.serverName(shape.get()), execute.item(), execute.data());
+      serverStatement =
+          new Execute(
+              PooledSession.serverName(preparedStatement.get()), execute.item(), execute.data());
     } else {
       String reason =
-          statement instanceof Unreadable unreadable ? unreadable.reason() : "not for callers";
-      return refuse(RefusalCode.MALFORMED, reason, failed());
+          statement instanceof Unreadable unreadable
+              ? unreadable.reason()
+              : "callers may not send this statement";
+      return refuse(RefusalCode.MALFORMED, reason, failedState());
     }
-    SessionRequest request = SessionRequest.of(id, sent);
+    SessionRequest request = SessionRequest.of(id, serverStatement);
     if (state == TransactionState.OPEN) {
-      return inOpenTransaction(request, kind, shape);
+      return runInOpenTransaction(request, kind, preparedStatement);
     }
     Optional<DatabaseState> database = database();
     if (database.isEmpty()) {
       return unknownDatabase();
     }
-    return single(task(request, kind, false, shape, database.get()));
+    return runOutsideTransaction(task(request, kind, false, preparedStatement, database.get()));
   }
 
   private StatementTask task(
       SessionRequest request,
       StatementKind kind,
-      boolean ending,
-      Optional<Prepare> shape,
+      boolean endsTransaction,
+      Optional<Prepare> preparedStatement,
       DatabaseState database) {
     long timeoutNanos = TimeUnit.MILLISECONDS.toNanos(database.statementTimeoutMillis());
     return new StatementTask(
-        request, kind, ending, shape, database, values, parts.clock().nowNanos() + timeoutNanos);
+        request,
+        kind,
+        endsTransaction,
+        preparedStatement,
+        database,
+        values,
+        parts.clock().nowNanos() + timeoutNanos);
   }
 
-  private CompletableFuture<SessionReply> single(StatementTask task) {
-    Optional<GroupRouting.Floor> own = written(task.database());
-    return forwarding
-        .single(task, own)
+  private CompletableFuture<SessionReply> runOutsideTransaction(StatementTask task) {
+    Optional<GroupRouting.Floor> lastWrite = lastWrite(task.database());
+    return forwarder
+        .forward(task, lastWrite)
         .thenCompose(
-            elsewhere ->
-                elsewhere
+            forwarded ->
+                forwarded
                     .map(CompletableFuture::completedFuture)
-                    .orElseGet(() -> here.single(task, own)))
+                    .orElseGet(() -> local.single(task, lastWrite)))
         .thenApply(
             reply -> {
               if (task.kind() == StatementKind.WRITE && reply.succeeded()) {
-                remember(task.database(), reply);
+                recordWrite(task.database(), reply);
               }
               return reply;
             });
   }
 
   private CompletableFuture<SessionReply> run(OpenTransaction open, StatementTask task) {
-    return new TransactionStatement(parts, new Owner(), open, task)
-        .run(forwarding, written(open.database()));
+    return new TransactionStatement(parts, new SessionTransactionOwner(), open, task)
+        .run(forwarder, lastWrite(open.database()));
   }
 
-  private Optional<GroupRouting.Floor> written(DatabaseState database) {
-    return Optional.ofNullable(written.get(database.group()));
+  private Optional<GroupRouting.Floor> lastWrite(DatabaseState database) {
+    return Optional.ofNullable(lastWrites.get(database.group()));
   }
 
-  private void remember(DatabaseState database, SessionReply reply) {
+  private void recordWrite(DatabaseState database, SessionReply reply) {
     long now = parts.clock().nowNanos();
     reply
         .position()
         .ifPresent(
-            position -> written.put(database.group(), new GroupRouting.Floor(position, now)));
+            position -> lastWrites.put(database.group(), new GroupRouting.Floor(position, now)));
   }
 
-  private CompletableFuture<SessionReply> inOpenTransaction(
-      SessionRequest request, StatementKind kind, Optional<Prepare> shape) {
-    Optional<OpenTransaction> open = transaction.filter(OpenTransaction::begin);
+  private CompletableFuture<SessionReply> runInOpenTransaction(
+      SessionRequest request, StatementKind kind, Optional<Prepare> preparedStatement) {
+    Optional<OpenTransaction> open = transaction.filter(OpenTransaction::beginStatement);
     if (open.isEmpty()) {
       return refuse(
-          RefusalCode.ABORTED, "the transaction was idle for too long", TransactionState.FAILED);
+          RefusalCode.ABORTED,
+          "the transaction was rolled back because it was idle for too long",
+          TransactionState.FAILED);
     }
     if (open.get().readOnly() && kind == StatementKind.WRITE) {
-      return refuse(RefusalCode.NOT_PRIMARY, "the transaction only reads", TransactionState.FAILED);
+      return refuse(
+          RefusalCode.NOT_PRIMARY, "the transaction is read-only", TransactionState.FAILED);
     }
-    StatementTask task = task(request, kind, false, shape, open.get().database());
+    StatementTask task = task(request, kind, false, preparedStatement, open.get().database());
     return run(open.get(), task);
   }
 
-  /** Ends the transaction if it has been idle for this long; its next statement is told so. */
+  /**
+   * Rolls back the transaction if it has exceeded the configured idle time. Its next read, write or
+   * commit is refused with {@code ABORTED}.
+   */
   void endIdleTransaction(long nowNanos) {
     Optional<OpenTransaction> open = transaction;
     if (open.isEmpty()) {
@@ -358,23 +388,26 @@
             .map(configuration -> (long) configuration.transactionIdleMillis())
             .filter(millis -> millis > 0)
             .orElse(Long.MAX_VALUE / 2_000_000);
-    if (open.get().idleFor(nowNanos, TimeUnit.MILLISECONDS.toNanos(idleMillis))) {
+    if (open.get().isIdleFor(nowNanos, TimeUnit.MILLISECONDS.toNanos(idleMillis))) {
       log.info("event=transaction-ended database={} reason=idle", open.get().database().name());
       rollBack(open.get());
     }
   }
 
-  /** Ends an open transaction although its caller has not asked for it: this host shuts down. */
+  /** Rolls back the open transaction without a request of the caller, when this host shuts down. */
   public void abort() {
     transaction.ifPresent(CallerSession::rollBack);
   }
 
-  /** Returns whether the session has no transaction and no statement runs. */
+  /** Returns whether no transaction is open and no statement is running. */
   public boolean idle() {
     return !busy && state == TransactionState.NONE;
   }
 
-  /** The caller is gone. */
+  /**
+   * Closes the session after its caller has disconnected, and rolls back an open transaction once
+   * no statement is running.
+   */
   public void close() {
     closed = true;
     if (!busy) {
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/ForwardedStatement.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/ForwardedStatement.java
@@ -20,217 +20,245 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A statement that stands alone, or the first one of a transaction, on its way over holders.
+ * A statement outside a transaction, or the first statement of a transaction, that is forwarded to
+ * a holder.
  *
- * <p>It goes on to another holder only while nothing ran that could be kept: after a holder that
- * surely did not run it, and, for reads and for transactions, which keep nothing before their
- * commit, after one that gives no answer. Everything else after the sending of a write is in doubt.
+ * <p>The statement is sent to another holder only while it has no permanent effect: if the first
+ * holder is known not to have run it, or, for reads and for transactions, which have no permanent
+ * effect before their commit, if the first holder did not reply. Otherwise the outcome of a write
+ * that was sent is unknown.
  *
- * <p>Lock: the object itself, before {@link Holders} and the budget of resends; holders are called
- * after it is released.
+ * <p>Locking: guarded by the object's own lock, which is acquired before the locks of {@link
+ * Holders} and of the resend budget. Holders are called after the lock is released.
  */
 final class ForwardedStatement {
   private static final Logger log = LoggerFactory.getLogger(ForwardedStatement.class);
 
-  /** A holder that takes this many usual times is silent, and another one is asked. */
-  private static final double SILENT_LATENCIES = 6;
+  /**
+   * Multiple of a holder's usual latency without a reply after which the holder counts as
+   * unresponsive and another holder is tried.
+   */
+  private static final double UNRESPONSIVE_LATENCY_FACTOR = 6;
 
-  /** And not before this, so that a load that makes all hosts slow is not doubled. */
-  private static final long MIN_SILENT_MILLIS = 200;
+  /**
+   * Minimum time without a reply after which a holder counts as unresponsive. Prevents resends from
+   * doubling a load that makes all hosts slow.
+   */
+  private static final long MIN_UNRESPONSIVE_MILLIS = 200;
 
-  /** A statement that two holders could not take is refused, and its caller asks another host. */
+  /**
+   * Maximum number of holders that a statement is sent to before it is refused; the caller then
+   * retries on another host.
+   */
   private static final int MAX_HOLDERS = 2;
 
-  private final HolderForwarding forwarding;
+  private final HolderForwarder forwarder;
   private final SessionParts parts;
   private final Holders holders;
   private final StatementTask task;
   private final List<HostState> candidates;
-  private final Optional<GroupRouting.Floor> written;
+  private final Optional<GroupRouting.Floor> lastWrite;
   private final Optional<Boolean> readOnlyTransaction;
-  private final CompletableFuture<Optional<Forwarding.Started>> result = new CompletableFuture<>();
+  private final CompletableFuture<Optional<StatementForwarder.ForwardedReply>> result =
+      new CompletableFuture<>();
   // Guarded by this.
-  private final Set<HostId> tried = new HashSet<>();
-  private int active;
-  private boolean sentTwice;
-  private Optional<Forwarding.Started> refused = Optional.empty();
+  private final Set<HostId> triedHolders = new HashSet<>();
+  private int inFlight;
+  private boolean resent;
+  private Optional<StatementForwarder.ForwardedReply> refusedReply = Optional.empty();
 
   /**
-   * Creates a statement that was not sent yet.
+   * Creates a statement that has not been sent.
    *
-   * @param readOnlyTransaction whether the transaction that it begins only reads; empty if it
-   *     stands alone
+   * @param readOnlyTransaction whether the transaction that the statement begins is read-only;
+   *     empty for a statement outside a transaction
    */
   ForwardedStatement(
-      HolderForwarding forwarding,
+      HolderForwarder forwarder,
       StatementTask task,
       List<HostState> candidates,
-      Optional<GroupRouting.Floor> written,
+      Optional<GroupRouting.Floor> lastWrite,
       Optional<Boolean> readOnlyTransaction) {
-    this.forwarding = forwarding;
-    this.parts = forwarding.parts();
-    this.holders = forwarding.holders();
+    this.forwarder = forwarder;
+    this.parts = forwarder.parts();
+    this.holders = forwarder.holders();
     this.task = task;
     this.candidates = candidates;
-    this.written = written;
+    this.lastWrite = lastWrite;
     this.readOnlyTransaction = readOnlyTransaction;
   }
 
-  /** Sends it; the future never fails, and is empty if the statement ran nowhere. */
-  CompletableFuture<Optional<Forwarding.Started>> run() {
-    forwarding.resends().firstTry();
-    next();
+  /**
+   * Sends the statement. The future never fails; it is empty if the statement did not run on any
+   * holder.
+   */
+  CompletableFuture<Optional<StatementForwarder.ForwardedReply>> run() {
+    forwarder.resendBudget().firstTry();
+    sendToNextHolder();
     return result;
   }
 
-  private void next() {
+  private void sendToNextHolder() {
     long now = parts.clock().nowNanos();
     Optional<HostState> holder;
     synchronized (this) {
-      boolean over = task.deadlineNanos() - now <= 0 || tried.size() >= MAX_HOLDERS;
-      holder = over ? Optional.empty() : holders.best(candidates, tried, now);
+      boolean exhausted = task.deadlineNanos() - now <= 0 || triedHolders.size() >= MAX_HOLDERS;
+      holder = exhausted ? Optional.empty() : holders.selectBest(candidates, triedHolders, now);
       if (holder.isPresent()) {
-        tried.add(holder.get().id());
-        active++;
-      } else if (active > 0) {
-        // Another sending is still under way, and its end comes back here.
+        triedHolders.add(holder.get().id());
+        inFlight++;
+      } else if (inFlight > 0) {
+        // A request to another holder is in flight, and its completion decides the result.
         return;
       }
     }
     if (holder.isPresent()) {
       send(holder.get(), now);
-    } else if (refused().isPresent() || holders.silent(candidates, now)) {
-      result.complete(refused());
+    } else if (refusedReply().isPresent() || holders.allUnresponsive(candidates, now)) {
+      result.complete(refusedReply());
     } else {
       refuse(
-          RefusalCode.BUSY, "no host that holds connections can take it now; retry after 200 ms");
+          RefusalCode.BUSY,
+          "no holder of the group can accept the statement now; retry after 200 ms");
     }
   }
 
-  private synchronized Optional<Forwarding.Started> refused() {
-    return refused;
+  private synchronized Optional<StatementForwarder.ForwardedReply> refusedReply() {
+    return refusedReply;
   }
 
   private void send(HostState holder, long sentNanos) {
-    long transaction = readOnlyTransaction.isPresent() ? forwarding.nextTransaction() : 0;
+    long transaction = readOnlyTransaction.isPresent() ? forwarder.nextTransactionNumber() : 0;
     holders.started(holder);
-    watchSilence(holder, sentNanos);
-    forwarding
-        .calls()
+    scheduleReplyCheck(holder, sentNanos);
+    forwarder
+        .client()
         .run(
             holder,
-            forwarding
-                .message(task, written, sentNanos)
+            forwarder
+                .message(task, lastWrite, sentNanos)
                 .setTransaction(transaction)
                 .setFirst(readOnlyTransaction.isPresent())
                 .setReadOnly(readOnlyTransaction.orElse(false))
                 .build(),
-            HolderForwarding.timeout(task, sentNanos))
+            HolderForwarder.replyTimeout(task, sentNanos))
         .whenComplete(
             (reply, failure) -> {
               holders.ended(holder);
               synchronized (this) {
-                active--;
+                inFlight--;
               }
               if (failure == null) {
-                answered(holder, transaction, reply, sentNanos);
+                handleReply(holder, transaction, reply, sentNanos);
               } else {
-                lost(holder, transaction, Futures.typed(failure));
+                handleFailure(holder, transaction, Futures.typed(failure));
               }
             });
   }
 
-  /** Reads and transactions keep nothing before a commit, so a second one may run elsewhere. */
-  private boolean repeatable() {
+  /**
+   * Returns whether two holders may run the statement: reads and transactions have no permanent
+   * effect before a commit.
+   */
+  private boolean isRepeatable() {
     return task.kind() == StatementKind.READ || readOnlyTransaction.isPresent();
   }
 
-  /** Guards against a holder that stands still or was cut off: its links do not break. */
-  private void watchSilence(HostState holder, long sentNanos) {
-    long millis =
-        Math.max(MIN_SILENT_MILLIS, (long) (holders.latencyMillis(holder) * SILENT_LATENCIES));
+  /**
+   * Checks for a reply after a delay. The link to a suspended or partitioned holder does not break,
+   * so that it reports no failure.
+   */
+  private void scheduleReplyCheck(HostState holder, long sentNanos) {
+    long delayMillis =
+        Math.max(
+            MIN_UNRESPONSIVE_MILLIS,
+            (long) (holders.latencyMillis(holder) * UNRESPONSIVE_LATENCY_FACTOR));
     parts
         .workers()
         .schedule(
-            Duration.ofMillis(millis),
+            Duration.ofMillis(delayMillis),
             () -> {
               if (!result.isDone()) {
-                silent(holder, sentNanos);
+                handleMissingReply(holder, sentNanos);
               }
             });
   }
 
-  private void silent(HostState holder, long sentNanos) {
+  private void handleMissingReply(HostState holder, long sentNanos) {
     long now = parts.clock().nowNanos();
     if (!holders.answeredSince(holder, sentNanos, now)) {
       holders.failed(holder, now);
     }
-    if (maySendAgain()) {
-      next();
+    if (tryAcquireResend()) {
+      sendToNextHolder();
     }
   }
 
   /**
-   * Returns whether a second holder may work on it; counted, so that a slow fleet is not doubled.
+   * Returns whether the statement may be sent to a second holder. A budget limits such resends, so
+   * that they do not double the load of a slow fleet.
    */
-  private synchronized boolean maySendAgain() {
-    if (!repeatable() || sentTwice || !forwarding.resends().tryResend()) {
+  private synchronized boolean tryAcquireResend() {
+    if (!isRepeatable() || resent || !forwarder.resendBudget().tryResend()) {
       return false;
     }
-    sentTwice = true;
+    resent = true;
     parts.metrics().sentTwice();
     return true;
   }
 
-  private void answered(
+  private void handleReply(
       HostState holder, long transaction, HeldStatementReply message, long sentNanos) {
     long now = parts.clock().nowNanos();
     holders.answered(holder, now, now - sentNanos);
     SessionReply reply = HeldStatementCodec.reply(message);
-    boolean open = transaction != 0 && reply.state() == TransactionState.OPEN;
-    Optional<TransactionPlace> place =
-        open ? Optional.of(new HeldElsewhere(forwarding, holder, transaction)) : Optional.empty();
-    parts.metrics().forwarded("answered");
-    Forwarding.Started started = new Forwarding.Started(reply, place);
+    boolean transactionOpen = transaction != 0 && reply.state() == TransactionState.OPEN;
+    Optional<TransactionLocation> location =
+        transactionOpen
+            ? Optional.of(new HeldElsewhere(forwarder, holder, transaction))
+            : Optional.empty();
+    parts.metrics().countForwarded("answered");
+    StatementForwarder.ForwardedReply forwarded =
+        new StatementForwarder.ForwardedReply(reply, location);
     synchronized (this) {
-      if (active > 0 && !reply.succeeded()) {
-        // The other holder may do better.
-        refused = Optional.of(started);
+      if (inFlight > 0 && !reply.succeeded()) {
+        // The request to the other holder is still in flight and may succeed.
+        refusedReply = Optional.of(forwarded);
         return;
       }
     }
-    if (!result.complete(Optional.of(started))) {
-      place.ifPresent(TransactionPlace::rollBack);
+    if (!result.complete(Optional.of(forwarded))) {
+      location.ifPresent(TransactionLocation::rollBack);
     }
   }
 
-  private void lost(HostState holder, long transaction, AlderyardException failure) {
+  private void handleFailure(HostState holder, long transaction, AlderyardException failure) {
     long now = parts.clock().nowNanos();
     holders.failed(holder, now);
     boolean notRun = failure.outcome() == Outcome.NOT_RUN;
     if (!notRun && transaction != 0) {
-      forwarding.end(holder, transaction);
+      forwarder.rollBack(holder, transaction);
     }
-    parts.metrics().forwarded("lost");
-    if (notRun || task.deadlineNanos() - now > 0 && maySendAgain()) {
-      next();
+    parts.metrics().countForwarded("lost");
+    if (notRun || task.deadlineNanos() - now > 0 && tryAcquireResend()) {
+      sendToNextHolder();
     } else {
-      finishLost(holder, failure);
+      completeWithoutReply(holder, failure);
     }
   }
 
-  private void finishLost(HostState holder, AlderyardException failure) {
+  private void completeWithoutReply(HostState holder, AlderyardException failure) {
     synchronized (this) {
-      if (active > 0) {
+      if (inFlight > 0) {
         return;
       }
     }
-    Optional<Forwarding.Started> known = refused();
-    if (known.isPresent()) {
-      result.complete(known);
+    Optional<StatementForwarder.ForwardedReply> earlier = refusedReply();
+    if (earlier.isPresent()) {
+      result.complete(earlier);
       return;
     }
-    RefusalCode code = codeOfLost();
+    RefusalCode code = codeWithoutReply();
     log.info(
         "event=statement-not-forwarded id={} database={} holder={} kind={} transaction={} reason={}"
             + " outcome={}",
@@ -241,11 +269,11 @@
         readOnlyTransaction.isPresent(),
         failure.code(),
         code);
-    refuse(code, "the host that holds the connection gave no answer");
+    refuse(code, "the host that holds the connection did not reply");
   }
 
-  /** Returns what may be said of a statement whose holder gave no answer. */
-  private RefusalCode codeOfLost() {
+  /** Returns the refusal code of a statement whose holder did not reply. */
+  private RefusalCode codeWithoutReply() {
     if (readOnlyTransaction.isPresent()) {
       return RefusalCode.ABORTED;
     }
@@ -257,6 +285,7 @@
         readOnlyTransaction.isPresent() ? TransactionState.FAILED : TransactionState.NONE;
     result.complete(
         Optional.of(
-            new Forwarding.Started(SessionReply.refused(code, text, state), Optional.empty())));
+            new StatementForwarder.ForwardedReply(
+                SessionReply.refused(code, text, state), Optional.empty())));
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/HeldElsewhere.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/HeldElsewhere.java
@@ -13,59 +13,63 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A transaction of a caller of this host on a connection of another host.
+ * A transaction of a local caller that runs on a connection of another host.
  *
- * <p>Without an answer of the holder it keeps nothing, as no commit was sent; only a commit that
- * may have arrived leaves a doubt.
+ * <p>A transaction whose holder does not reply is rolled back, as no commit was sent. The outcome
+ * is unknown only if a commit may have reached the holder.
  *
- * @param forwarding the way there
+ * @param forwarder sends the statements
  * @param holder the host with the connection
- * @param transaction its number
+ * @param transaction the number of the transaction, unique among the transactions that this process
+ *     forwards
  */
-record HeldElsewhere(HolderForwarding forwarding, HostState holder, long transaction)
-    implements TransactionPlace {
+record HeldElsewhere(HolderForwarder forwarder, HostState holder, long transaction)
+    implements TransactionLocation {
   private static final Logger log = LoggerFactory.getLogger(HeldElsewhere.class);
 
   @Override
   public CompletableFuture<SessionReply> run(
       TransactionOwner owner, OpenTransaction open, StatementTask task) {
-    long sent = forwarding.parts().clock().nowNanos();
-    return forwarding
-        .calls()
+    long sentNanos = forwarder.parts().clock().nowNanos();
+    return forwarder
+        .client()
         .run(
             holder,
-            forwarding.message(task, Optional.empty(), sent).setTransaction(transaction).build(),
-            HolderForwarding.timeout(task, sent))
+            forwarder
+                .message(task, Optional.empty(), sentNanos)
+                .setTransaction(transaction)
+                .build(),
+            HolderForwarder.replyTimeout(task, sentNanos))
         .handle(
             (message, failure) -> {
               if (failure != null) {
-                return lost(owner, open, task, Futures.typed(failure));
+                return handleFailure(owner, open, task, Futures.typed(failure));
               }
               SessionReply reply = HeldStatementCodec.reply(message);
-              ended(owner, open, task, reply);
+              handleTransactionEnd(owner, open, task, reply);
               return reply;
             });
   }
 
-  private static void ended(
+  private static void handleTransactionEnd(
       TransactionOwner owner, OpenTransaction open, StatementTask task, SessionReply reply) {
     if (reply.state() == TransactionState.OPEN) {
       return;
     }
-    // The holder has given the connection back.
+    // The holder has already released the connection.
     open.end();
     owner.transactionEnded();
     if (task.ending() && reply.succeeded() && open.hasWritten()) {
-      owner.remember(open.database(), reply);
+      owner.recordWrite(open.database(), reply);
     }
   }
 
-  private SessionReply lost(
+  private SessionReply handleFailure(
       TransactionOwner owner,
       OpenTransaction open,
       StatementTask task,
       AlderyardException failure) {
-    forwarding.holders().failed(holder, forwarding.parts().clock().nowNanos());
+    forwarder.holders().failed(holder, forwarder.parts().clock().nowNanos());
     open.end();
     owner.transactionEnded();
     rollBack();
@@ -82,12 +86,12 @@
         inDoubt ? "OUTCOME_UNKNOWN" : "NOT_KEPT");
     return SessionReply.refused(
         inDoubt ? RefusalCode.IN_DOUBT : RefusalCode.ABORTED,
-        "the host that holds the connection gave no answer",
+        "the host that holds the connection did not reply",
         task.ending() ? TransactionState.NONE : TransactionState.FAILED);
   }
 
   @Override
   public void rollBack() {
-    forwarding.end(holder, transaction);
+    forwarder.rollBack(holder, transaction);
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/HeldStatementCodec.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/HeldStatementCodec.java
@@ -22,14 +22,14 @@
 import org.alderyard.protocol.generated.statement.Work;
 import org.alderyard.protocol.view.StateCodec;
 
-/** Statements and answers as they pass between the host that has a caller and a holder. */
+/** Encodes and decodes the statements and replies that a caller's host exchanges with a holder. */
 final class HeldStatementCodec {
 
   private HeldStatementCodec() {}
 
-  /** Returns the message of a statement; the one who sends it adds who it is from. */
+  /** Encodes a statement as a request; the sender adds its host and incarnation. */
   static HeldStatementRequest.Builder requestMessage(
-      StatementTask task, Optional<GroupRouting.Floor> written, long nowNanos) {
+      StatementTask task, Optional<GroupRouting.Floor> lastWrite, long nowNanos) {
     long remainingNanos = Math.max(0, task.deadlineNanos() - nowNanos);
     HeldStatementRequest.Builder message =
         HeldStatementRequest.newBuilder()
@@ -38,7 +38,7 @@
             .setId(task.request().id().orElseThrow())
             .setWork(work(task))
             .putAllValues(task.values());
-    written.ifPresent(
+    lastWrite.ifPresent(
         floor ->
             message
                 .setWritten(StateCodec.positionMessage(floor.position()))
@@ -62,12 +62,15 @@
       work.setItem(execute.item()).setShape(task.prepared().orElseThrow().shape());
       execute.data().ifPresent(work::setData);
     } else {
-      throw new IllegalArgumentException("not for servers: " + statement);
+      throw new IllegalArgumentException("statement does not run on a server: " + statement);
     }
     return work.build();
   }
 
-  /** Returns the statement of a message, whose time begins to run now. */
+  /**
+   * Decodes the statement of a request. The deadline is the remaining time of the request, counted
+   * from {@code nowNanos}.
+   */
   static StatementTask task(HeldStatementRequest message, long nowNanos) {
     Work work = message.getWork();
     StatementKind kind =
@@ -92,18 +95,19 @@
     return switch (work.getKind()) {
       case COMMIT -> new Commit();
       case READ -> new Read(work.getItem());
-      case WRITE -> new Write(work.getItem(), data.orElseThrow(HeldStatementCodec::damaged));
-      // Nothing may run in its place.
-      default -> throw damaged();
+      case WRITE -> new Write(work.getItem(), data.orElseThrow(HeldStatementCodec::malformed));
+      // An unknown kind is rejected, so that no other statement runs instead.
+      default -> throw malformed();
     };
   }
 
-  private static AlderyardException damaged() {
-    return AlderyardException.notRun(ErrorCode.MESSAGE_DAMAGED, "the statement can't be read");
+  private static AlderyardException malformed() {
+    return AlderyardException.notRun(
+        ErrorCode.MESSAGE_DAMAGED, "the forwarded statement is malformed");
   }
 
-  /** Returns the position of the session's own last write that a message holds. */
-  static Optional<GroupRouting.Floor> written(HeldStatementRequest message, long nowNanos) {
+  /** Decodes the position of the session's last write from a request. */
+  static Optional<GroupRouting.Floor> lastWrite(HeldStatementRequest message, long nowNanos) {
     if (!message.hasWritten()) {
       return Optional.empty();
     }
@@ -112,7 +116,7 @@
         new GroupRouting.Floor(StateCodec.position(message.getWritten()), sinceNanos));
   }
 
-  /** Returns the message of an answer. */
+  /** Encodes a reply. */
   static HeldStatementReply replyMessage(SessionReply reply) {
     HeldStatementReply.Builder message =
         HeldStatementReply.newBuilder()
@@ -129,7 +133,7 @@
     return message.build();
   }
 
-  /** Returns the answer of a message. */
+  /** Decodes a reply. */
   static SessionReply reply(HeldStatementReply message) {
     return new SessionReply(
         message.getRowsList(),
@@ -143,7 +147,10 @@
             : Optional.empty());
   }
 
-  /** A code that a newer peer added promises nothing here. */
+  /**
+   * Returns the refusal code with this name; {@code IN_DOUBT} for a code that a newer peer added,
+   * as its meaning for the outcome is unknown here.
+   */
   private static RefusalCode code(String name) {
     for (RefusalCode code : RefusalCode.values()) {
       if (code.name().equals(name)) {
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/HeldStatements.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/HeldStatements.java
@@ -21,71 +21,79 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Runs the statements of other hosts' callers over this host's connections. */
+/** Runs statements of other hosts' callers over this host's connections. */
 final class HeldStatements {
   private static final Logger log = LoggerFactory.getLogger(HeldStatements.class);
 
   /**
-   * The host that has the caller ends an idle transaction itself; one that is idle for this many
-   * times as long is ended here, as that host may be gone.
+   * The caller's host ends an idle transaction. A transaction that is idle for this multiple of the
+   * idle timeout is rolled back here, as the caller's host may have failed.
    */
   private static final int IDLE_FACTOR = 2;
 
-  private static final long IDLE_MILLIS_WITHOUT_BOUND = 60_000;
+  private static final long DEFAULT_IDLE_MILLIS = 60_000;
 
-  private final LocalStatements here;
+  private final LocalStatements local;
   private final SessionParts parts;
   private final Map<Key, HeldTransaction> transactions = new ConcurrentHashMap<>();
   private volatile boolean stopping;
 
-  /** A transaction by the host that has its caller. */
+  /**
+   * Identifies a transaction by the host of its caller, the incarnation of that host, and the
+   * number that the host assigned.
+   */
   private record Key(HostId host, long incarnation, long transaction) {
     static Key of(String host, long incarnation, long transaction) {
       return new Key(new HostId(host), incarnation, transaction);
     }
   }
 
-  HeldStatements(LocalStatements here) {
-    this.here = here;
-    this.parts = here.parts();
+  HeldStatements(LocalStatements local) {
+    this.local = local;
+    this.parts = local.parts();
   }
 
-  void serve(Dispatcher dispatcher) {
+  void registerMethods(Dispatcher dispatcher) {
     dispatcher.serve(DataMethods.RUN_HELD_STATEMENT, (peer, request) -> run(request));
     dispatcher.serve(DataMethods.END_HELD_TRANSACTION, (peer, request) -> end(request));
   }
 
-  /** Runs a statement of another host's caller. */
+  /**
+   * Runs a statement of another host's caller.
+   *
+   * @throws AlderyardException with the outcome {@code NOT_RUN} if this host is shutting down, if
+   *     its view does not have the group, or if the statement can't be decoded
+   */
   CompletableFuture<HeldStatementReply> run(HeldStatementRequest request) {
     long now = parts.clock().nowNanos();
     StatementTask task = HeldStatementCodec.task(request, now);
-    Optional<GroupRouting.Floor> written = HeldStatementCodec.written(request, now);
+    Optional<GroupRouting.Floor> lastWrite = HeldStatementCodec.lastWrite(request, now);
     Key key = Key.of(request.getHost(), request.getIncarnation(), request.getTransaction());
     if (request.getTransaction() != 0 && !request.getFirst()) {
-      return further(key, task).thenApply(HeldStatementCodec::replyMessage);
+      return runInTransaction(key, task).thenApply(HeldStatementCodec::replyMessage);
     }
-    checkServes(task.database().group());
+    checkAccepts(task.database().group());
     if (request.getTransaction() == 0) {
-      return here.single(task, written).thenApply(HeldStatementCodec::replyMessage);
+      return local.single(task, lastWrite).thenApply(HeldStatementCodec::replyMessage);
     }
     OpenTransaction open = new OpenTransaction(task.database(), request.getReadOnly(), now);
     HeldTransaction transaction =
-        new HeldTransaction(here, open, written, () -> transactions.remove(key));
+        new HeldTransaction(local, open, lastWrite, () -> transactions.remove(key));
     transactions.put(key, transaction);
     return transaction.run(task).thenApply(HeldStatementCodec::replyMessage);
   }
 
-  private void checkServes(GroupId group) {
+  private void checkAccepts(GroupId group) {
     if (stopping) {
-      throw AlderyardException.notRun(ErrorCode.DRAINING, "this host stops");
+      throw AlderyardException.notRun(ErrorCode.DRAINING, "this host is shutting down");
     }
     if (parts.group(group).isEmpty()) {
       throw AlderyardException.notRun(
-          ErrorCode.NO_ELIGIBLE_SERVER, "this host does not know group " + group);
+          ErrorCode.NO_ELIGIBLE_SERVER, "this host's view has no group " + group);
     }
   }
 
-  private CompletableFuture<SessionReply> further(Key key, StatementTask task) {
+  private CompletableFuture<SessionReply> runInTransaction(Key key, StatementTask task) {
     HeldTransaction transaction = transactions.get(key);
     if (transaction != null) {
       return transaction.run(task);
@@ -95,7 +103,7 @@
         task.request().id().orElse("-"),
         key.host(),
         task.ending());
-    return CompletableFuture.completedFuture(HeldTransaction.ended(task));
+    return CompletableFuture.completedFuture(HeldTransaction.abortedReply(task));
   }
 
   CompletableFuture<EndHeldTransactionReply> end(EndHeldTransactionRequest request) {
@@ -104,8 +112,11 @@
     return CompletableFuture.completedFuture(EndHeldTransactionReply.getDefaultInstance());
   }
 
-  /** Ends the transactions that nobody will go on with. */
-  void sweep(long nowNanos) {
+  /**
+   * Rolls back transactions that have exceeded their idle time or whose caller's host has
+   * restarted.
+   */
+  void endAbandoned(long nowNanos) {
     long idleMillis =
         parts
             .views()
@@ -114,33 +125,33 @@
             .map(ConfigurationState::transactionIdleMillis)
             .filter(millis -> millis > 0)
             .map(millis -> (long) IDLE_FACTOR * millis)
-            .orElse(IDLE_MILLIS_WITHOUT_BOUND);
+            .orElse(DEFAULT_IDLE_MILLIS);
     long idleNanos = TimeUnit.MILLISECONDS.toNanos(idleMillis);
     transactions.forEach(
         (key, transaction) -> {
-          if (transaction.idleFor(nowNanos, idleNanos) || callerHostGone(key)) {
+          if (transaction.isIdleFor(nowNanos, idleNanos) || callerHostRestarted(key)) {
             log.info("event=held-transaction-ended host={} reason=abandoned", key.host());
             transaction.rollBack();
           }
         });
   }
 
-  private boolean callerHostGone(Key key) {
+  private boolean callerHostRestarted(Key key) {
     HostState host = parts.views().current().hosts().get(key.host());
     return host != null && host.incarnation() > key.incarnation();
   }
 
-  /** Takes no new work of other hosts any more. */
-  void stop() {
+  /** Refuses new statements and transactions of other hosts; open transactions continue. */
+  void stopAccepting() {
     stopping = true;
   }
 
-  /** Ends what is open: this host shuts down. */
-  void abort() {
+  /** Rolls back all open transactions, when this host shuts down. */
+  void rollBackAll() {
     transactions.values().forEach(HeldTransaction::rollBack);
   }
 
-  int openTransactions() {
+  int openTransactionCount() {
     return transactions.size();
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/HeldTransaction.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/HeldTransaction.java
@@ -7,76 +7,76 @@
 import org.alderyard.backend.session.TransactionState;
 import org.alderyard.common.view.DatabaseState;
 
-/** A transaction on this host whose caller is on another one. */
+/** A transaction that runs on this host for a caller of another host. */
 final class HeldTransaction implements TransactionOwner {
-  private final LocalStatements here;
+  private final LocalStatements local;
   private final OpenTransaction open;
-  private final Optional<GroupRouting.Floor> written;
-  private final Runnable afterEnd;
+  private final Optional<GroupRouting.Floor> lastWrite;
+  private final Runnable onEnd;
 
   /**
-   * Creates a transaction that has no connection yet.
+   * Creates a transaction without a connection; its first statement acquires one.
    *
-   * @param written the position of the session's own last write
-   * @param afterEnd runs once it has ended
+   * @param lastWrite the position of the session's last write
+   * @param onEnd runs when the transaction has ended; may run more than once
    */
   HeldTransaction(
-      LocalStatements here,
+      LocalStatements local,
       OpenTransaction open,
-      Optional<GroupRouting.Floor> written,
-      Runnable afterEnd) {
-    this.here = here;
+      Optional<GroupRouting.Floor> lastWrite,
+      Runnable onEnd) {
+    this.local = local;
     this.open = open;
-    this.written = written;
-    this.afterEnd = afterEnd;
+    this.lastWrite = lastWrite;
+    this.onEnd = onEnd;
   }
 
-  /** Runs the next statement; the future never fails. */
+  /** Runs the next statement. The future never fails. */
   CompletableFuture<SessionReply> run(StatementTask task) {
-    if (!open.begin()) {
-      return CompletableFuture.completedFuture(ended(task));
+    if (!open.beginStatement()) {
+      return CompletableFuture.completedFuture(abortedReply(task));
     }
-    return new TransactionStatement(here.parts(), this, open, task)
-        .run(Forwarding.NONE, written)
+    return new TransactionStatement(local.parts(), this, open, task)
+        .run(StatementForwarder.NONE, lastWrite)
         .whenComplete(
             (reply, failure) -> {
-              open.rest(here.parts().clock().nowNanos());
+              open.endStatement(local.parts().clock().nowNanos());
               if (failure != null || reply.state() != TransactionState.OPEN) {
                 rollBack();
               }
             });
   }
 
-  /** Returns the answer to a statement of a transaction that is no longer there. */
-  static SessionReply ended(StatementTask task) {
+  /** Returns the reply to a statement of a transaction that has already ended. */
+  static SessionReply abortedReply(StatementTask task) {
     return SessionReply.refused(
         RefusalCode.ABORTED,
         "the transaction has ended",
         task.ending() ? TransactionState.NONE : TransactionState.FAILED);
   }
 
-  boolean idleFor(long nowNanos, long nanos) {
-    return open.idleFor(nowNanos, nanos);
+  boolean isIdleFor(long nowNanos, long idleNanos) {
+    return open.isIdleFor(nowNanos, idleNanos);
   }
 
   @Override
-  public CompletableFuture<Optional<GroupRouting.Floor>> floor(DatabaseState database) {
-    return here.floors().floor(database, written);
+  public CompletableFuture<Optional<GroupRouting.Floor>> readFloor(DatabaseState database) {
+    return local.floors().floor(database, lastWrite);
   }
 
   @Override
-  public void remember(DatabaseState database, SessionReply reply) {
-    // The host that has the caller remembers it.
+  public void recordWrite(DatabaseState database, SessionReply reply) {
+    // The caller's host records the position.
   }
 
   @Override
   public void rollBack() {
-    open.end().ifPresent(TransactionPlace::rollBack);
-    afterEnd.run();
+    open.end().ifPresent(TransactionLocation::rollBack);
+    onEnd.run();
   }
 
   @Override
   public void transactionEnded() {
-    afterEnd.run();
+    onEnd.run();
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/HolderAssignment.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/HolderAssignment.java
@@ -14,82 +14,94 @@
 import org.alderyard.common.view.View;
 
 /**
- * Which hosts hold the connections to a group's servers and learn what these do; the others work
- * through them.
+ * Selects the hosts that hold the connections to a group's servers and track the state of those
+ * servers. The other hosts forward their statements to these holders.
  *
- * <p>Derived from the view alone, so that all hosts of one view agree without asking. Each
- * availability zone has holders of its own, so that a statement need not leave its zone. A few
- * holders see most of a group's work, and what they know of it is young; a fleet in which every
- * host holds connections needs more of them than servers accept, and each host asks for itself who
- * leads and how far replicas are.
+ * <p>The assignment depends on the view alone, so that all hosts with the same view agree without
+ * communication. Each availability zone has its own holders, so that statements need not leave
+ * their zone. A few holders run most of a group's statements and so have recent information about
+ * its servers. If every host held connections, the fleet would need more connections than servers
+ * accept, and each host would have to query the servers for the primary and the positions of
+ * replicas.
  *
- * <p>Pure but for a cache of scores.
+ * <p>Stateless apart from a cache of scores.
  */
 final class HolderAssignment {
   /**
-   * Connections that a server accepts for each host if all hosts hold some: one for each, and a
-   * second one where statements come in bunches.
+   * Connections to a server per host if all hosts hold connections: one for each host, and a second
+   * one for hosts whose statements arrive in bursts.
    */
-  private static final double CONNECTIONS_OF_HOST = 1.25;
+  private static final double CONNECTIONS_PER_HOST = 1.25;
 
-  /** So many let a holder run a transaction and other statements side by side. */
-  private static final int CONNECTIONS_OF_HOLDER = 4;
+  /**
+   * Connections to a server per holder: enough to run transactions and other statements
+   * concurrently.
+   */
+  private static final int CONNECTIONS_PER_HOLDER = 4;
 
   /**
-   * The part of what a server accepts that holders share while all is well; as much is free for
-   * those that take over while the server still counts the old connections.
+   * Divisor of a server's accepted connections that gives the holders' share in the steady state.
+   * The rest is reserved for hosts that take over while the server still counts the old
+   * connections.
    */
-  private static final int CALM_DIVISOR = 2;
+  private static final int STEADY_STATE_DIVISOR = 2;
 
   private final RendezvousScores scores = new RendezvousScores();
 
-  private record Scored(HostState host, long score) {}
+  private record ScoredHost(HostState host, long score) {}
 
-  private static final Comparator<Scored> BEST_FIRST =
-      Comparator.comparing((Scored scored) -> scored.host().control())
-          .thenComparing(Comparator.comparingLong(Scored::score).reversed())
+  private static final Comparator<ScoredHost> BEST_FIRST =
+      Comparator.comparing((ScoredHost scored) -> scored.host().control())
+          .thenComparing(Comparator.comparingLong(ScoredHost::score).reversed())
           .thenComparing(scored -> scored.host().id());
 
   /**
    * Returns the holders of a group.
    *
-   * @return empty if all hosts hold connections: there are enough for that
+   * @return empty if all hosts hold connections, because the servers accept enough of them
    */
   Optional<List<HostState>> holders(View view, GroupId group) {
-    int accepted = view.group(group).map(GroupState::connectionsPerServer).orElse(0);
+    int acceptedConnections = view.group(group).map(GroupState::connectionsPerServer).orElse(0);
     List<HostState> hosts = view.hosts().values().stream().filter(HostState::takesWork).toList();
-    int calm = accepted / CALM_DIVISOR;
-    if (accepted == 0 || hosts.size() * CONNECTIONS_OF_HOST <= accepted) {
+    int steadyStateConnections = acceptedConnections / STEADY_STATE_DIVISOR;
+    if (acceptedConnections == 0 || hosts.size() * CONNECTIONS_PER_HOST <= acceptedConnections) {
       return Optional.empty();
     }
-    Map<ZoneName, List<Scored>> zones = new TreeMap<>();
+    Map<ZoneName, List<ScoredHost>> zones = new TreeMap<>();
     long groupHash = RendezvousScores.groupHash(group);
     for (HostState host : hosts) {
       zones
           .computeIfAbsent(host.zone(), zone -> new ArrayList<>())
-          .add(new Scored(host, scores.score(groupHash, host.id())));
+          .add(new ScoredHost(host, scores.score(groupHash, host.id())));
     }
-    int wanted = Math.min(ceil(hosts.size(), view.groups().size()), calm / CONNECTIONS_OF_HOLDER);
-    int ofZone = Math.max(1, ceil(wanted, zones.size()));
+    int targetHolders =
+        Math.min(
+            ceilDiv(hosts.size(), view.groups().size()),
+            steadyStateConnections / CONNECTIONS_PER_HOLDER);
+    int holdersPerZone = Math.max(1, ceilDiv(targetHolders, zones.size()));
     List<HostState> holders = new ArrayList<>();
-    for (List<Scored> zone : zones.values()) {
-      zone.stream().sorted(BEST_FIRST).limit(ofZone).map(Scored::host).forEach(holders::add);
+    for (List<ScoredHost> zone : zones.values()) {
+      zone.stream()
+          .sorted(BEST_FIRST)
+          .limit(holdersPerZone)
+          .map(ScoredHost::host)
+          .forEach(holders::add);
     }
     return Optional.of(holders);
   }
 
-  private static int ceil(int dividend, int divisor) {
+  private static int ceilDiv(int dividend, int divisor) {
     return (dividend + divisor - 1) / Math.max(1, divisor);
   }
 
   /**
    * Returns how many connections to each server of a group one of its holders may open before any
-   * are granted: its part of what leaves room for others.
+   * are granted: its part of the holders' steady-state share.
    *
-   * @param holders how many holders the group has
+   * @param holders the number of holders of the group
    */
-  static int firstConnections(View view, GroupId group, int holders) {
-    int accepted = view.group(group).map(GroupState::connectionsPerServer).orElse(0);
-    return Math.max(1, accepted / CALM_DIVISOR / holders);
+  static int initialConnections(View view, GroupId group, int holders) {
+    int acceptedConnections = view.group(group).map(GroupState::connectionsPerServer).orElse(0);
+    return Math.max(1, acceptedConnections / STEADY_STATE_DIVISOR / holders);
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/HolderCalls.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/HolderClient.java
@@ -7,16 +7,17 @@
 import org.alderyard.protocol.generated.statement.HeldStatementReply;
 import org.alderyard.protocol.generated.statement.HeldStatementRequest;
 
-/** The way to the hosts that hold connections. */
-interface HolderCalls {
+/** Sends statements to the hosts that hold connections. */
+interface HolderClient {
   /**
-   * Has a statement run.
+   * Runs a statement on a holder.
    *
-   * @return fails with {@code NOT_RUN} only if the holder surely did not get it, or refused it
+   * @return a future that fails with the outcome {@code NOT_RUN} only if the holder refused the
+   *     statement or is known not to have received it
    */
   CompletableFuture<HeldStatementReply> run(
       HostState holder, HeldStatementRequest request, Duration timeout);
 
-  /** Ends a transaction without keeping anything; an answer is not waited for. */
+  /** Rolls back a transaction on a holder without waiting for the reply. */
   void end(HostState holder, EndHeldTransactionRequest request);
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/HolderTrack.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/HolderTrack.java
@@ -1,31 +1,33 @@
 package org.alderyard.proxy.callersession;
 
 /**
- * How one start of a holder has answered this host, and how much it may be sent at a time. Not safe
- * for several threads.
+ * Reply statistics and in-flight limit of one incarnation of a holder. Not thread-safe.
  *
- * <p>Guards against holders that work on what nobody waits for any more: all hosts of a fleet start
- * at once, a holder is slow, and what waits before it is older than its callers' patience. What it
- * may be sent grows with each answer and is halved when it gives none, so that the rest is refused
- * at once or goes to another holder.
+ * <p>The in-flight limit grows with each reply and is halved after each failure; further statements
+ * are refused immediately or sent to another holder. Without the limit, a slow holder works on
+ * statements whose callers have given up: all hosts of a fleet start at the same time, and the
+ * statements queued at a holder become older than their callers' timeouts.
  */
 final class HolderTrack extends AnswerTrack {
-  /** Until an answer came; near the work of common statements and a way there and back. */
-  private static final double FIRST_LATENCY_MILLIS = 20;
+  /**
+   * Assumed latency before the first reply: close to that of a common statement plus a network
+   * round trip.
+   */
+  private static final double INITIAL_LATENCY_MILLIS = 20;
 
-  /** Some callers' statements at once, before anything is known of the holder. */
-  private static final double FIRST_WINDOW = 4;
+  /** In-flight limit before the first reply: the concurrent statements of a few callers. */
+  private static final double INITIAL_IN_FLIGHT_LIMIT = 4;
 
-  private static final double MIN_WINDOW = 1;
+  private static final double MIN_IN_FLIGHT_LIMIT = 1;
 
-  /** Beyond this a host would be a holder's only one. */
-  private static final double MAX_WINDOW = 64;
+  /** A higher limit would let a single host take up a holder's capacity. */
+  private static final double MAX_IN_FLIGHT_LIMIT = 64;
 
   private final long incarnation;
-  private double window = FIRST_WINDOW;
+  private double inFlightLimit = INITIAL_IN_FLIGHT_LIMIT;
 
   HolderTrack(long incarnation) {
-    super(FIRST_LATENCY_MILLIS);
+    super(INITIAL_LATENCY_MILLIS);
     this.incarnation = incarnation;
   }
 
@@ -33,20 +35,20 @@
     return incarnation;
   }
 
-  /** Returns whether it has as many statements of this host as it may have. */
-  boolean full() {
-    return inFlight() >= window;
+  /** Returns whether the number of in-flight statements from this host has reached the limit. */
+  boolean atInFlightLimit() {
+    return inFlight() >= inFlightLimit;
   }
 
   @Override
   void answered(long nowNanos, long tookNanos, boolean ran) {
     super.answered(nowNanos, tookNanos, ran);
-    window = Math.min(MAX_WINDOW, window + 1 / window);
+    inFlightLimit = Math.min(MAX_IN_FLIGHT_LIMIT, inFlightLimit + 1 / inFlightLimit);
   }
 
   @Override
   void failed(long nowNanos) {
     super.failed(nowNanos);
-    window = Math.max(MIN_WINDOW, window / 2);
+    inFlightLimit = Math.max(MIN_IN_FLIGHT_LIMIT, inFlightLimit / 2);
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/Holders.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/Holders.java
@@ -16,61 +16,69 @@
 import org.alderyard.common.view.View;
 
 /**
- * The holders of all groups, and how they have answered this host.
+ * Selects holders for the statements of this host by their recent replies.
  *
- * <p>Lock: the object itself, a leaf.
+ * <p>Locking: guarded by the object's own lock; no other lock is acquired while it is held.
  */
 final class Holders {
   /**
-   * What leaving the availability zone counts as. How long a statement takes says more of its
-   * server than of its holder, so only a holder that is far slower is passed over for one in
-   * another zone, with all the bytes that then cross between them.
+   * Latency that is added for a holder in another availability zone. A statement's duration depends
+   * more on its server than on its holder, so a holder in another zone is preferred only over a far
+   * slower one; its statements add traffic between zones.
    */
-  private static final double OTHER_ZONE_MILLIS = 400;
+  private static final double OTHER_ZONE_PENALTY_MILLIS = 400;
 
-  private static final double PAUSED_MILLIS = 100_000;
+  private static final double BACKOFF_PENALTY_MILLIS = 100_000;
 
-  /** A link that is not there yet takes a handshake first. */
-  private static final double UNLINKED_MILLIS = 50;
+  /**
+   * Latency that is added for a holder without an open link, whose first statement needs a
+   * handshake.
+   */
+  private static final double UNCONNECTED_PENALTY_MILLIS = 50;
 
   /**
-   * Guards against a fleet whose hosts all open connections of their own when their holders are
-   * slow for a moment, as after a start: servers accept fewer than there are hosts.
+   * Time without a reply from any holder after which this host opens its own connections. Without
+   * the delay, all hosts of a fleet would open connections while their holders are briefly slow, as
+   * after a start, and servers accept fewer connections than there are hosts.
    */
-  private static final long SERVE_ITSELF_NANOS = TimeUnit.SECONDS.toNanos(1);
+  private static final long LOCAL_FALLBACK_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   private final HostId self;
   private final ZoneName zone;
-  private final Predicate<HostState> linked;
+  private final Predicate<HostState> isConnected;
   private final HolderAssignment assignment = new HolderAssignment();
   // Guarded by this.
-  private Map<HostId, HostState> hostsOfCache = Map.of();
-  private Map<GroupId, GroupState> groupsOfCache = Map.of();
-  private final Map<GroupId, HoldersOfGroup> cache = new HashMap<>();
-  private final Map<HostId, HolderTrack> tracks = new HashMap<>();
+  private Map<HostId, HostState> cachedHosts = Map.of();
+  private Map<GroupId, GroupState> cachedGroups = Map.of();
+  private final Map<GroupId, GroupHolders> cache = new HashMap<>();
+  private final Map<HostId, HolderTrack> trackers = new HashMap<>();
 
   /**
-   * What the view says of one group. Kept, since each use of a connection asks for it.
+   * The holders of one group in the current view. Cached, as every use of a connection reads it.
    *
    * @param holders empty if all hosts hold connections
-   * @param firstConnections how many this host may open before it has a lease
+   * @param initialConnections how many connections to a server this host may open before it has a
+   *     lease
    */
-  private record HoldersOfGroup(Optional<List<HostState>> holders, int firstConnections) {}
+  private record GroupHolders(Optional<List<HostState>> holders, int initialConnections) {}
 
   /**
-   * Creates holders that have not been asked yet.
+   * Creates a selector that has not recorded any reply.
    *
-   * @param linked whether there is a connection to a host
+   * @param isConnected whether this host has an open link to a host
    */
-  Holders(HostId self, ZoneName zone, Predicate<HostState> linked) {
+  Holders(HostId self, ZoneName zone, Predicate<HostState> isConnected) {
     this.self = self;
     this.zone = zone;
-    this.linked = linked;
+    this.isConnected = isConnected;
   }
 
-  /** Returns the other hosts that most likely know something of a group. */
+  /**
+   * Returns the other hosts that are likely to have recent information about a group: its holders,
+   * or all proxies if all hosts hold connections.
+   */
   synchronized List<HostState> wellInformed(View view, GroupId group) {
-    return of(view, group)
+    return groupHolders(view, group)
         .holders()
         .orElseGet(() -> view.hosts().values().stream().filter(HostState::proxy).toList())
         .stream()
@@ -79,100 +87,106 @@
   }
 
   /**
-   * Returns the holders of a group.
+   * Returns the holders of a group to which this host forwards statements.
    *
-   * @return empty if this host is one of them, or all hosts are
+   * @return empty if this host is a holder of the group, or if all hosts hold connections
    */
-  synchronized Optional<List<HostState>> others(View view, GroupId group) {
-    return of(view, group).holders().filter(all -> !includeSelf(all));
+  synchronized Optional<List<HostState>> remoteHolders(View view, GroupId group) {
+    return groupHolders(view, group).holders().filter(all -> !includesSelf(all));
   }
 
   /**
-   * Returns how many connections to each server of a group this host may open before a lease.
+   * Returns how many connections to each server of a group this host may open before it has a
+   * lease.
    *
-   * @return 1 on a host that is no holder, for when none can be reached
+   * @return 1 on a host that is not a holder, for the case that no holder can be reached
    */
-  synchronized int firstConnections(View view, GroupId group) {
-    return of(view, group).firstConnections();
+  synchronized int initialConnections(View view, GroupId group) {
+    return groupHolders(view, group).initialConnections();
   }
 
-  private HoldersOfGroup of(View view, GroupId group) {
-    if (view.hosts() != hostsOfCache || view.groups() != groupsOfCache) {
-      hostsOfCache = view.hosts();
-      groupsOfCache = view.groups();
+  private GroupHolders groupHolders(View view, GroupId group) {
+    if (view.hosts() != cachedHosts || view.groups() != cachedGroups) {
+      cachedHosts = view.hosts();
+      cachedGroups = view.groups();
       cache.clear();
-      tracks.keySet().retainAll(hostsOfCache.keySet());
+      trackers.keySet().retainAll(cachedHosts.keySet());
     }
-    return cache.computeIfAbsent(group, id -> compute(view, id));
+    return cache.computeIfAbsent(group, id -> computeHolders(view, id));
   }
 
-  private HoldersOfGroup compute(View view, GroupId group) {
+  private GroupHolders computeHolders(View view, GroupId group) {
     Optional<List<HostState>> holders = assignment.holders(view, group);
-    boolean holds = holders.filter(this::includeSelf).isPresent();
+    boolean isHolder = holders.filter(this::includesSelf).isPresent();
     int connections =
-        holds ? HolderAssignment.firstConnections(view, group, holders.get().size()) : 1;
-    return new HoldersOfGroup(holders, connections);
+        isHolder ? HolderAssignment.initialConnections(view, group, holders.get().size()) : 1;
+    return new GroupHolders(holders, connections);
   }
 
-  private boolean includeSelf(List<HostState> holders) {
+  private boolean includesSelf(List<HostState> holders) {
     return holders.stream().anyMatch(holder -> holder.id().equals(self));
   }
 
   /**
-   * Returns the holder that most likely answers soonest, was not tried yet and may get more work.
+   * Returns the holder with the lowest expected latency that has not been tried and is below its
+   * in-flight limit.
    */
-  synchronized Optional<HostState> best(List<HostState> holders, Set<HostId> tried, long nowNanos) {
+  synchronized Optional<HostState> selectBest(
+      List<HostState> holders, Set<HostId> tried, long nowNanos) {
     return holders.stream()
-        .filter(holder -> !tried.contains(holder.id()) && !track(holder).full())
+        .filter(holder -> !tried.contains(holder.id()) && !tracker(holder).atInFlightLimit())
         .min(Comparator.comparingDouble(holder -> expectedMillis(holder, nowNanos)));
   }
 
   private double expectedMillis(HostState holder, long nowNanos) {
-    HolderTrack track = track(holder);
-    return track.expectedMillis()
-        + (holder.zone().equals(zone) ? 0 : OTHER_ZONE_MILLIS)
-        + (linked.test(holder) ? 0 : UNLINKED_MILLIS)
-        + (track.paused(nowNanos) ? PAUSED_MILLIS : 0);
+    HolderTrack tracker = tracker(holder);
+    return tracker.expectedMillis()
+        + (holder.zone().equals(zone) ? 0 : OTHER_ZONE_PENALTY_MILLIS)
+        + (isConnected.test(holder) ? 0 : UNCONNECTED_PENALTY_MILLIS)
+        + (tracker.paused(nowNanos) ? BACKOFF_PENALTY_MILLIS : 0);
   }
 
-  /** Returns whether none of the holders has answered for so long that this host serves itself. */
-  synchronized boolean silent(List<HostState> holders, long nowNanos) {
+  /**
+   * Returns whether all holders have been unresponsive for so long that this host must use its own
+   * connections.
+   */
+  synchronized boolean allUnresponsive(List<HostState> holders, long nowNanos) {
     return holders.stream()
-        .allMatch(holder -> track(holder).silentNanos(nowNanos) >= SERVE_ITSELF_NANOS);
+        .allMatch(holder -> tracker(holder).silentNanos(nowNanos) >= LOCAL_FALLBACK_NANOS);
   }
 
   synchronized void started(HostState holder) {
-    track(holder).started();
+    tracker(holder).started();
   }
 
   synchronized void ended(HostState holder) {
-    track(holder).ended();
+    tracker(holder).ended();
   }
 
   synchronized void answered(HostState holder, long nowNanos, long tookNanos) {
-    track(holder).answered(nowNanos, tookNanos, true);
+    tracker(holder).answered(nowNanos, tookNanos, true);
   }
 
-  /** A holder can't be reached, refused to work for others, or is silent. */
+  /** Records that a holder is unreachable, refused a forwarded statement, or did not reply. */
   synchronized void failed(HostState holder, long nowNanos) {
-    track(holder).failed(nowNanos);
+    tracker(holder).failed(nowNanos);
   }
 
-  /** Returns whether an answer came since a time. */
+  /** Returns whether the holder has replied since the given time. */
   synchronized boolean answeredSince(HostState holder, long sinceNanos, long nowNanos) {
-    return track(holder).answeredWithin(nowNanos, nowNanos - sinceNanos);
+    return tracker(holder).answeredWithin(nowNanos, nowNanos - sinceNanos);
   }
 
   synchronized double latencyMillis(HostState holder) {
-    return track(holder).latencyMillis();
+    return tracker(holder).latencyMillis();
   }
 
-  private HolderTrack track(HostState holder) {
-    HolderTrack track = tracks.get(holder.id());
-    if (track == null || track.incarnation() != holder.incarnation()) {
-      track = new HolderTrack(holder.incarnation());
-      tracks.put(holder.id(), track);
+  private HolderTrack tracker(HostState holder) {
+    HolderTrack tracker = trackers.get(holder.id());
+    if (tracker == null || tracker.incarnation() != holder.incarnation()) {
+      tracker = new HolderTrack(holder.incarnation());
+      trackers.put(holder.id(), tracker);
     }
-    return track;
+    return tracker;
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/OpenTransaction.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/OpenTransaction.java
@@ -4,25 +4,25 @@
 import org.alderyard.common.view.DatabaseState;
 
 /**
- * A caller's transaction. It gets a place, and a connection there, with its first statement, so
- * that none is held while the caller has not begun to work.
+ * A caller's transaction. The first statement assigns its location and acquires a connection there,
+ * so that no connection is held before the caller sends a statement.
  *
- * <p>Lock: the object itself, a leaf.
+ * <p>Locking: guarded by the object's own lock; no other lock is acquired while it is held.
  */
 final class OpenTransaction {
   private final DatabaseState database;
   private final boolean readOnly;
   // Guarded by this.
-  private Optional<TransactionPlace> place = Optional.empty();
+  private Optional<TransactionLocation> location = Optional.empty();
   private boolean wrote;
   private boolean ended;
-  private long quietSinceNanos;
+  private long idleSinceNanos;
   private boolean running;
 
   OpenTransaction(DatabaseState database, boolean readOnly, long nowNanos) {
     this.database = database;
     this.readOnly = readOnly;
-    this.quietSinceNanos = nowNanos;
+    this.idleSinceNanos = nowNanos;
   }
 
   DatabaseState database() {
@@ -33,21 +33,23 @@
     return readOnly;
   }
 
-  /** Returns where it runs, once its first statement has found a place. */
-  synchronized Optional<TransactionPlace> place() {
-    return place;
+  /** Returns where the transaction runs; empty before the first statement has run. */
+  synchronized Optional<TransactionLocation> location() {
+    return location;
   }
 
-  /** Takes its place; returns false when the transaction has ended meanwhile. */
-  synchronized boolean runAt(TransactionPlace found) {
+  /**
+   * Assigns the location of the transaction; returns false if the transaction has ended meanwhile.
+   */
+  synchronized boolean tryAssign(TransactionLocation assigned) {
     if (ended) {
       return false;
     }
-    place = Optional.of(found);
+    location = Optional.of(assigned);
     return true;
   }
 
-  synchronized void wrote() {
+  synchronized void markWritten() {
     wrote = true;
   }
 
@@ -55,8 +57,8 @@
     return wrote;
   }
 
-  /** Marks a statement as running; returns false when the transaction has ended. */
-  synchronized boolean begin() {
+  /** Marks a statement as running; returns false if the transaction has ended. */
+  synchronized boolean beginStatement() {
     if (ended) {
       return false;
     }
@@ -64,20 +66,23 @@
     return true;
   }
 
-  synchronized void rest(long nowNanos) {
+  synchronized void endStatement(long nowNanos) {
     running = false;
-    quietSinceNanos = nowNanos;
+    idleSinceNanos = nowNanos;
   }
 
-  synchronized boolean idleFor(long nowNanos, long nanos) {
-    return !ended && !running && nowNanos - quietSinceNanos >= nanos;
+  synchronized boolean isIdleFor(long nowNanos, long idleNanos) {
+    return !ended && !running && nowNanos - idleSinceNanos >= idleNanos;
   }
 
-  /** Ends it; returns where it is to be rolled back, once. */
-  synchronized Optional<TransactionPlace> end() {
+  /**
+   * Ends the transaction. The first call after a location was assigned returns that location, for
+   * the rollback; further calls return empty.
+   */
+  synchronized Optional<TransactionLocation> end() {
     ended = true;
-    Optional<TransactionPlace> last = place;
-    place = Optional.empty();
+    Optional<TransactionLocation> last = location;
+    location = Optional.empty();
     return last;
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/LinkedHolders.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/PeerLinkHolderClient.java
@@ -10,22 +10,26 @@
 import org.alderyard.protocol.wire.PeerLink;
 import org.alderyard.protocol.wire.PeerLinks;
 
-/** The way to holders over the links between hosts. */
-final class LinkedHolders implements HolderCalls {
-  /** A host that takes no connection in this time is passed over: others hold connections too. */
+/** Sends statements to holders over the links between hosts. */
+final class PeerLinkHolderClient implements HolderClient {
+  /**
+   * A host that does not accept a connection within this time is skipped, as other hosts hold
+   * connections too.
+   */
   private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(400);
 
   /**
-   * Guards against links that are closed and made anew while all hosts are slow: a holder that has
-   * just started answers little in the time of a statement, and a handshake costs it more.
+   * Time without received data after which a link is closed. A shorter time would close and reopen
+   * links while all hosts are slow: a holder that has just started sends little within the timeout
+   * of a statement, and a handshake slows it further.
    */
-  private static final Duration SILENCE = Duration.ofSeconds(3);
+  private static final Duration SILENCE_TIMEOUT = Duration.ofSeconds(3);
 
   private static final Duration END_TIMEOUT = Duration.ofMillis(500);
 
   private final PeerLinks links;
 
-  LinkedHolders(PeerLinks links) {
+  PeerLinkHolderClient(PeerLinks links) {
     this.links = links;
   }
 
@@ -34,13 +38,15 @@
       HostState holder, HeldStatementRequest request, Duration timeout) {
     PeerLink link = links.to(holder.innerAddress());
     return link.connected(CONNECT_TIMEOUT)
-        .thenCompose(open -> link.call(DataMethods.RUN_HELD_STATEMENT, request, timeout, SILENCE));
+        .thenCompose(
+            connected ->
+                link.call(DataMethods.RUN_HELD_STATEMENT, request, timeout, SILENCE_TIMEOUT));
   }
 
   @Override
   public void end(HostState holder, EndHeldTransactionRequest request) {
     links
         .to(holder.innerAddress())
-        .call(DataMethods.END_HELD_TRANSACTION, request, END_TIMEOUT, SILENCE);
+        .call(DataMethods.END_HELD_TRANSACTION, request, END_TIMEOUT, SILENCE_TIMEOUT);
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/PinnedConnection.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/PinnedConnection.java
@@ -7,12 +7,12 @@
 /**
  * A connection of this host with an open transaction.
  *
- * @param parts what all sessions share
- * @param server the server
+ * @param parts the components that all sessions share
+ * @param server the server of the connection
  * @param session the connection
  */
 record PinnedConnection(SessionParts parts, ServerState server, PooledSession session)
-    implements TransactionPlace {
+    implements TransactionLocation {
 
   @Override
   public CompletableFuture<SessionReply> run(
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/PinnedStatement.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/PinnedStatement.java
@@ -14,18 +14,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A statement of a transaction on the connection of this host that holds it.
+ * A statement of an open transaction that runs on the transaction's connection of this host.
  *
- * <p>A transaction that loses its connection before its commit was sent keeps nothing, as its
- * server rolls it back; only a commit that may have arrived leaves a doubt.
+ * <p>If the connection is lost before the commit was sent, the server rolls the transaction back.
+ * The outcome is unknown only if a commit may have reached the server.
  */
 final class PinnedStatement {
   private static final Logger log = LoggerFactory.getLogger(PinnedStatement.class);
 
-  /** A busy server is asked again this often within a transaction, at this pause. */
-  private static final int BUSY_REPEATS = 8;
+  /**
+   * Maximum number of retries on a busy server within a transaction, and the delay between them.
+   */
+  private static final int MAX_BUSY_RETRIES = 8;
 
-  private static final Duration BUSY_PAUSE = Duration.ofMillis(12);
+  private static final Duration BUSY_RETRY_DELAY = Duration.ofMillis(12);
 
   private final SessionParts parts;
   private final ServerState server;
@@ -48,32 +50,32 @@
     this.task = task;
   }
 
-  /** Runs it; the future never fails. */
+  /** Runs the statement. The future never fails. */
   CompletableFuture<SessionReply> run() {
     return run(0);
   }
 
-  private CompletableFuture<SessionReply> run(int repeats) {
+  private CompletableFuture<SessionReply> run(int retries) {
     GroupRouting routing = parts.routings().of(open.database().group());
     List<SessionRequest> requests = connection.adopt(task.values(), task.prepared(), false);
     requests.add(task.request());
-    long sent = parts.clock().nowNanos();
-    Duration timeout = Duration.ofNanos(Math.max(1, task.deadlineNanos() - sent));
-    routing.started(server, sent);
+    long sentNanos = parts.clock().nowNanos();
+    Duration timeout = Duration.ofNanos(Math.max(1, task.deadlineNanos() - sentNanos));
+    routing.started(server, sentNanos);
     return connection
         .run(requests, timeout)
         .handle(
             (replies, failure) -> {
               routing.ended(server);
               if (failure != null) {
-                return lost(Futures.typed(failure));
+                return handleConnectionLoss(Futures.typed(failure));
               }
-              return answered(replies, sent, repeats);
+              return handleReplies(replies, sentNanos, retries);
             })
         .thenCompose(reply -> reply);
   }
 
-  private CompletableFuture<SessionReply> lost(AlderyardException failure) {
+  private CompletableFuture<SessionReply> handleConnectionLoss(AlderyardException failure) {
     parts.routings().of(open.database().group()).doubted(server, parts.clock().nowNanos());
     open.end();
     parts.discard(server, connection);
@@ -97,25 +99,25 @@
             task.ending() ? TransactionState.NONE : TransactionState.FAILED));
   }
 
-  private CompletableFuture<SessionReply> answered(
-      List<SessionReply> replies, long sent, int repeats) {
+  private CompletableFuture<SessionReply> handleReplies(
+      List<SessionReply> replies, long sentNanos, int retries) {
     long now = parts.clock().nowNanos();
     SessionReply reply = replies.get(replies.size() - 1);
     GroupRouting routing = parts.routings().of(open.database().group());
     boolean ran = !StatementAttempt.notRun(reply);
-    routing.answered(server, now, now - sent, ran, reply.position());
+    routing.answered(server, now, now - sentNanos, ran, reply.position());
     if (reply.succeeded()) {
       if (task.ending()) {
-        committed(reply, sent);
+        handleCommit(reply, sentNanos);
         return CompletableFuture.completedFuture(reply.inState(TransactionState.NONE));
       }
       return CompletableFuture.completedFuture(reply.inState(TransactionState.OPEN));
     }
     boolean stillOpen = reply.state() == TransactionState.OPEN;
-    if (reply.refusedWith(RefusalCode.BUSY) && stillOpen && repeats < BUSY_REPEATS) {
-      CompletableFuture<Void> pause = new CompletableFuture<>();
-      parts.workers().schedule(BUSY_PAUSE, () -> pause.complete(null));
-      return pause.thenCompose(waited -> run(repeats + 1));
+    if (reply.refusedWith(RefusalCode.BUSY) && stillOpen && retries < MAX_BUSY_RETRIES) {
+      CompletableFuture<Void> retryDelay = new CompletableFuture<>();
+      parts.workers().schedule(BUSY_RETRY_DELAY, () -> retryDelay.complete(null));
+      return retryDelay.thenCompose(ignored -> run(retries + 1));
     }
     if (reply.refusedWith(RefusalCode.NOT_PRIMARY)) {
       parts.group(open.database().group()).ifPresent(group -> routing.doesNotLead(server, group));
@@ -132,15 +134,16 @@
         reply.inState(task.ending() ? TransactionState.NONE : TransactionState.FAILED));
   }
 
-  private void committed(SessionReply reply, long sent) {
+  private void handleCommit(SessionReply reply, long sentNanos) {
     open.end();
     owner.transactionEnded();
     if (open.hasWritten()) {
-      owner.remember(open.database(), reply);
+      owner.recordWrite(open.database(), reply);
       reply
           .position()
           .ifPresent(
-              position -> parts.routings().of(open.database().group()).sampled(sent, position));
+              position ->
+                  parts.routings().of(open.database().group()).sampled(sentNanos, position));
     }
     if (reply.state() == TransactionState.NONE) {
       parts.release(server, connection);
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/PrimaryReporter.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/PrimaryReporter.java
@@ -13,15 +13,20 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Tells the control leader what this host sees of the primaries that it works with. */
+/** Reports to the control leader whether the primaries that this host uses respond. */
 public final class PrimaryReporter {
   private static final Logger log = LoggerFactory.getLogger(PrimaryReporter.class);
 
-  /** A failover waits for reports; this pace adds half of it. */
-  private static final Duration TICK = Duration.ofMillis(100);
+  /**
+   * Interval of the checks. A failover waits for the reports, so that half of this interval adds to
+   * its duration on average.
+   */
+  private static final Duration CHECK_INTERVAL = Duration.ofMillis(100);
 
-  /** While all primaries answer, one report in this time keeps the leader's picture fresh. */
-  private static final long CALM_NANOS = TimeUnit.SECONDS.toNanos(1);
+  /**
+   * Interval of the reports while all primaries respond; it keeps the leader's information recent.
+   */
+  private static final long STEADY_STATE_REPORT_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   private static final Duration TIMEOUT = Duration.ofMillis(500);
 
@@ -29,10 +34,10 @@
   private final HostId self;
   private final SessionParts parts;
   private final SampleRefresher refresher;
-  private long lastNanos;
-  private boolean troubled;
-  // A second report on top of one without an answer would only slow the leader down.
-  private final AtomicBoolean underWay = new AtomicBoolean();
+  private long lastReportNanos;
+  private boolean lastReportHadUnresponsive;
+  // Prevents a second report while one is in flight, which would only slow the leader down.
+  private final AtomicBoolean reportInFlight = new AtomicBoolean();
 
   PrimaryReporter(
       ControlClient control, HostId self, SessionParts parts, SampleRefresher refresher) {
@@ -43,41 +48,44 @@
   }
 
   void start() {
-    parts.workers().scheduleRepeatedly(TICK, this::tick);
+    parts.workers().scheduleRepeatedly(CHECK_INTERVAL, this::reportIfDue);
   }
 
-  private void tick() {
+  private void reportIfDue() {
     long now = parts.clock().nowNanos();
     ReportPrimariesRequest.Builder report =
         ReportPrimariesRequest.newBuilder().setHost(self.value());
-    boolean silent = false;
+    boolean anyUnresponsive = false;
     for (GroupState group : parts.views().current().groups().values()) {
       GroupRouting routing = parts.routings().of(group.id());
-      var sight = routing.primarySight(group, now);
-      if (sight.isEmpty()) {
+      var sighting = routing.primarySight(group, now);
+      if (sighting.isEmpty()) {
         continue;
       }
-      if (sight.get().silentMillis() > 0) {
-        silent = true;
+      if (sighting.get().silentMillis() > 0) {
+        anyUnresponsive = true;
         refresher.askAgain(group, now);
       }
       report.addSightings(
           PrimarySighting.newBuilder()
               .setGroup(group.id().value())
-              .setServer(sight.get().server().value())
-              .setSilentMillis((int) sight.get().silentMillis()));
+              .setServer(sighting.get().server().value())
+              .setSilentMillis((int) sighting.get().silentMillis()));
     }
-    boolean due = silent || troubled || now - lastNanos >= CALM_NANOS;
-    if (!due || report.getSightingsCount() == 0 || !underWay.compareAndSet(false, true)) {
+    boolean due =
+        anyUnresponsive
+            || lastReportHadUnresponsive
+            || now - lastReportNanos >= STEADY_STATE_REPORT_NANOS;
+    if (!due || report.getSightingsCount() == 0 || !reportInFlight.compareAndSet(false, true)) {
       return;
     }
-    troubled = silent;
-    lastNanos = now;
+    lastReportHadUnresponsive = anyUnresponsive;
+    lastReportNanos = now;
     control
         .callIdempotent(ControlMethods.REPORT_PRIMARIES, report.build(), TIMEOUT)
         .whenComplete(
             (reply, failure) -> {
-              underWay.set(false);
+              reportInFlight.set(false);
               if (failure != null) {
                 log.debug("event=report-failed reason={}", Futures.typed(failure).code());
               }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/SessionLimits.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/SessionLimits.java
@@ -4,27 +4,31 @@
 import java.util.Objects;
 
 /**
- * What bounds the sessions of a host.
+ * Limits of the sessions of a host.
  *
- * @param maxSessions the most sessions at a time, so that their descriptors and memory suffice
- * @param openingWait how long an opening waits for the first view of a host
- * @param afterFirstView how long callers wait after the first view of a host; it is for hosts that
- *     have something to do then for which all other hosts wait
- * @param routineLogSample of how many statements that went well one is logged
+ * @param maxSessions maximum number of concurrent sessions, so that file descriptors and memory
+ *     suffice
+ * @param admissionTimeout how long the opening of a session waits until the host serves callers
+ * @param servingDelay how long after its first view the host begins to serve callers; not zero on
+ *     hosts that all other hosts depend on at that time
+ * @param routineLogSample one of this many successful statements is logged
  */
 public record SessionLimits(
-    int maxSessions, Duration openingWait, Duration afterFirstView, int routineLogSample) {
-  /** As long as an election takes, and half of the time after which callers give up an opening. */
-  private static final Duration OPENING_WAIT = Duration.ofSeconds(1);
+    int maxSessions, Duration admissionTimeout, Duration servingDelay, int routineLogSample) {
+  /**
+   * Covers the duration of an election, and is half of the time after which callers give up opening
+   * a session.
+   */
+  private static final Duration DEFAULT_ADMISSION_TIMEOUT = Duration.ofSeconds(1);
 
-  /** Checks. */
+  /** Rejects null durations. */
   public SessionLimits {
-    Objects.requireNonNull(openingWait);
-    Objects.requireNonNull(afterFirstView);
+    Objects.requireNonNull(admissionTimeout);
+    Objects.requireNonNull(servingDelay);
   }
 
-  /** Creates limits with the usual wait of openings. */
-  public SessionLimits(int maxSessions, Duration afterFirstView, int routineLogSample) {
-    this(maxSessions, OPENING_WAIT, afterFirstView, routineLogSample);
+  /** Creates limits with the default admission timeout. */
+  public SessionLimits(int maxSessions, Duration servingDelay, int routineLogSample) {
+    this(maxSessions, DEFAULT_ADMISSION_TIMEOUT, servingDelay, routineLogSample);
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/SessionMetrics.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/SessionMetrics.java
@@ -18,24 +18,24 @@
 import org.alderyard.common.view.SessionReads;
 
 /**
- * The metrics of callers' sessions.
+ * Metrics of caller sessions.
  *
- * <p>Labels are kinds and codes only, 3 by 15 at most: databases, groups, servers and callers are
- * no labels, since their number grows with the users.
+ * <p>Labels have only enum values, in at most 3 by 15 combinations. Databases, groups, servers and
+ * callers are not labels, since their number grows with the users.
  */
 final class SessionMetrics {
   private static final String DONE = "done";
 
   private final Counter statements;
-  private final Counter notRun;
+  private final Counter attemptsNotRun;
   private final Histogram tries;
   private final Counter forwarded;
-  private final Counter repeated;
-  private final Counter lost;
+  private final Counter readResends;
+  private final Counter lostReplies;
   private final Map<SessionReads, DistributionDataPoint> durations =
       new EnumMap<>(SessionReads.class);
   private final DistributionDataPoint atServer;
-  private final DistributionDataPoint waitedForConnection;
+  private final DistributionDataPoint connectionWait;
   private final PrometheusRegistry registry;
 
   SessionMetrics(PrometheusRegistry registry) {
@@ -46,7 +46,7 @@
             .help("Statements of sessions by what reads must see and by their outcome.")
             .labelNames("reads", "outcome")
             .register(registry);
-    notRun =
+    attemptsNotRun =
         Counter.builder()
             .name("alderyard_session_attempts_not_run")
             .help("Attempts that a server refused, by its reason.")
@@ -65,17 +65,18 @@
             .help("Statements passed on to a host that holds connections, by what came back.")
             .labelNames("outcome")
             .register(registry);
-    repeated = counter("alderyard_session_reads_sent_twice", "Reads sent to a second server.");
-    lost = counter("alderyard_session_answers_lost", "Answers of servers that did not arrive.");
+    readResends = counter("alderyard_session_reads_sent_twice", "Reads sent to a second server.");
+    lostReplies =
+        counter("alderyard_session_answers_lost", "Answers of servers that did not arrive.");
     Histogram total =
         histogram("alderyard_session_statement", "From a statement's arrival to its answer.");
     for (SessionReads reads : SessionReads.values()) {
-      durations.put(reads, total.labelValues(lower(reads)));
+      durations.put(reads, total.labelValues(lowerCase(reads)));
     }
     Histogram stages =
         histogram("alderyard_session_stage", "Parts of a statement's time, by their name.");
     atServer = stages.labelValues("at-server");
-    waitedForConnection = stages.labelValues("connection");
+    connectionWait = stages.labelValues("connection");
   }
 
   private Counter counter(String name, String help) {
@@ -101,45 +102,47 @@
         .register(registry);
   }
 
-  void answered(SessionReads reads, SessionReply reply, long tookNanos) {
+  void recordStatement(SessionReads reads, SessionReply reply, long durationNanos) {
     Optional<Refusal> refusal = reply.refusal();
-    statements.labelValues(lower(reads), refusal.map(r -> lower(r.code())).orElse(DONE)).inc();
-    durations.get(reads).observe(seconds(tookNanos));
+    statements
+        .labelValues(lowerCase(reads), refusal.map(r -> lowerCase(r.code())).orElse(DONE))
+        .inc();
+    durations.get(reads).observe(seconds(durationNanos));
   }
 
-  void ranAtServer(long tookNanos) {
-    atServer.observe(seconds(tookNanos));
+  void ranAtServer(long durationNanos) {
+    atServer.observe(seconds(durationNanos));
   }
 
-  void gotConnection(long tookNanos) {
-    waitedForConnection.observe(seconds(tookNanos));
+  void gotConnection(long durationNanos) {
+    connectionWait.observe(seconds(durationNanos));
   }
 
   void refusedByServer(RefusalCode code) {
-    notRun.labelValues(lower(code)).inc();
+    attemptsNotRun.labelValues(lowerCase(code)).inc();
   }
 
   void ended(int triedServers) {
     tries.observe(triedServers);
   }
 
-  void forwarded(String outcome) {
+  void countForwarded(String outcome) {
     forwarded.labelValues(outcome).inc();
   }
 
   void sentTwice() {
-    repeated.inc();
+    readResends.inc();
   }
 
   void lostAnswer() {
-    lost.inc();
+    lostReplies.inc();
   }
 
   private static double seconds(long nanos) {
     return nanos / (double) TimeUnit.SECONDS.toNanos(1);
   }
 
-  private static String lower(Enum<?> value) {
+  private static String lowerCase(Enum<?> value) {
     return value.name().toLowerCase(Locale.ROOT);
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/SessionParts.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/SessionParts.java
@@ -20,17 +20,17 @@
 import org.alderyard.proxy.view.ViewHolder;
 
 /**
- * What all sessions of a host share.
+ * Components that all sessions of a host share.
  *
- * @param views the view
- * @param routings what the servers of each group have shown
- * @param pools the connections
- * @param workers run what happens later
- * @param clock for intervals
- * @param wallClock the time of day, to notice that this host was suspended
- * @param metrics what is counted
- * @param viewConfirmed whether the control hosts have confirmed this host's view of late
- * @param routineLog of how many statements that went well one is logged
+ * @param views the current view
+ * @param routings the routing state of each group
+ * @param pools the connection pools
+ * @param workers run asynchronous and delayed tasks
+ * @param clock measures intervals
+ * @param wallClock the time of day, used to detect that this host was suspended
+ * @param metrics the session metrics
+ * @param viewConfirmed whether the control hosts have recently confirmed this host's view
+ * @param routineLog selects the successful statements that are logged
  */
 record SessionParts(
     ViewHolder views,
@@ -42,10 +42,13 @@
     SessionMetrics metrics,
     BooleanSupplier viewConfirmed,
     SampledLog routineLog) {
-  /** A rollback takes no slot; a server that does not answer it in this time is not waited for. */
+  /**
+   * Timeout of a rollback, after which the connection is closed. A rollback needs no slot on the
+   * server, so that it does not wait for other statements.
+   */
   private static final Duration ROLLBACK_TIMEOUT = Duration.ofMillis(500);
 
-  /** Checks. */
+  /** Rejects null components. */
   SessionParts {
     Objects.requireNonNull(views);
     Objects.requireNonNull(routings);
@@ -66,12 +69,15 @@
     return views.current().group(group);
   }
 
-  /** Gives a connection back that has no transaction. */
+  /** Returns a connection without an open transaction to its pool. */
   void release(ServerState server, PooledSession session) {
     pools.release(server, session);
   }
 
-  /** Ends the transaction of a connection and gives it back; closes it if that fails. */
+  /**
+   * Rolls back the transaction of a connection and returns the connection to its pool; closes the
+   * connection if the rollback fails.
+   */
   void rollBackAndRelease(ServerState server, PooledSession session) {
     if (!session.usable()) {
       release(server, session);
@@ -81,34 +87,36 @@
         .runOwn(new Rollback(), ROLLBACK_TIMEOUT)
         .whenComplete(
             (reply, failure) -> {
-              if (failure != null || !clean(reply)) {
+              if (failure != null || !isRolledBack(reply)) {
                 session.close();
               }
               release(server, session);
             });
   }
 
-  private static boolean clean(SessionReply reply) {
+  private static boolean isRolledBack(SessionReply reply) {
     return reply.succeeded() && reply.state() == TransactionState.NONE;
   }
 
-  /** Closes a connection, which ends its transaction, and tells the pool. */
+  /** Closes a connection, which ends its transaction, and releases it to its pool. */
   void discard(ServerState server, PooledSession session) {
     session.close();
     release(server, session);
   }
 
   /**
-   * Returns the refusal of a database that this host's view does not name.
+   * Returns the refusal of a database that is not in this host's view.
    *
-   * <p>Without a confirmation of late the database may have come since: the caller is not to blame
-   * and asks another host.
+   * <p>Without a recent confirmation of the view, the database may have been added since. The
+   * refusal is then {@code BUSY}, so that the caller retries on another host, and not an error of
+   * the caller.
    */
-  Refusal unknown(String database) {
+  Refusal unknownDatabase(String database) {
     return viewConfirmed.getAsBoolean()
         ? new Refusal(RefusalCode.UNKNOWN_DATABASE, database)
         : new Refusal(
             RefusalCode.BUSY,
-            "this host has lost touch with the control hosts and does not know " + database);
+            "the control hosts have not confirmed this host's view, which has no database "
+                + database);
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/SessionService.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/SessionService.java
@@ -28,30 +28,30 @@
 import org.alderyard.proxy.pool.ConnectionPools;
 import org.alderyard.proxy.view.ViewHolder;
 
-/** Opens callers' sessions, and ends what they leave behind. */
+/** Opens and closes caller sessions, and rolls back their idle transactions. */
 public final class SessionService {
-  /** The pace at which idle transactions are looked for; a tenth of the usual bound of 3 s. */
-  private static final Duration SWEEP_INTERVAL = Duration.ofMillis(300);
+  /** Interval of the check for idle transactions: a tenth of the usual idle limit of 3 s. */
+  private static final Duration IDLE_CHECK_INTERVAL = Duration.ofMillis(300);
 
   private final SessionParts parts;
   private final SampleRefresher refresher;
-  private final LocalStatements here;
-  private final HeldStatements held;
+  private final LocalStatements local;
+  private final HeldStatements heldStatements;
   private final int maxSessions;
-  private final long openingWaitMillis;
-  private final boolean othersWait;
+  private final long admissionTimeoutMillis;
+  private final boolean delaysServing;
   private final Set<CallerSession> sessions = ConcurrentHashMap.newKeySet();
   private final CompletableFuture<Void> firstView = new CompletableFuture<>();
-  private final CompletableFuture<Void> serving = new CompletableFuture<>();
-  private volatile Forwarding forwarding = Forwarding.NONE;
+  private final CompletableFuture<Void> servingStarted = new CompletableFuture<>();
+  private volatile StatementForwarder forwarder = StatementForwarder.NONE;
   private volatile Optional<Holders> holders = Optional.empty();
   private volatile boolean draining;
 
   /**
-   * Creates a service without a session.
+   * Creates a service without sessions.
    *
    * @param zone the availability zone of this host
-   * @param viewConfirmed whether the control hosts have confirmed this host's view of late
+   * @param viewConfirmed whether the control hosts have recently confirmed this host's view
    */
   public SessionService(
       ViewHolder views,
@@ -83,18 +83,18 @@
             viewConfirmed,
             new SampledLog(limits.routineLogSample()));
     refresher = new SampleRefresher(parts);
-    here = new LocalStatements(parts, new ReadFloors(parts, refresher));
-    held = new HeldStatements(here);
+    local = new LocalStatements(parts, new ReadFloors(parts, refresher));
+    heldStatements = new HeldStatements(local);
     routings.searchLeadBy(refresher::searchLead);
     registerGauges(metrics);
     maxSessions = limits.maxSessions();
-    openingWaitMillis = limits.openingWait().toMillis();
-    othersWait = !limits.afterFirstView().isZero();
+    admissionTimeoutMillis = limits.admissionTimeout().toMillis();
+    delaysServing = !limits.servingDelay().isZero();
     views.onChange(routings::follow);
     views.onChange(
         view -> {
           if (view.configuration().isPresent() && firstView.complete(null)) {
-            startServing(limits.afterFirstView());
+            startServing(limits.servingDelay());
           }
         });
   }
@@ -118,66 +118,67 @@
     metrics.gauge(
         "alderyard_session_transactions_held",
         "Open transactions of other hosts' callers on this host's connections.",
-        held::openTransactions);
+        heldStatements::openTransactionCount);
   }
 
-  private void startServing(Duration later) {
-    if (later.isZero()) {
-      serving.complete(null);
+  private void startServing(Duration delay) {
+    if (delay.isZero()) {
+      servingStarted.complete(null);
     } else {
-      parts.workers().schedule(later, () -> serving.complete(null));
+      parts.workers().schedule(delay, () -> servingStarted.complete(null));
     }
   }
 
-  /** Starts to look for idle transactions. */
+  /** Starts the periodic check for idle transactions. */
   public void start() {
-    parts.workers().scheduleRepeatedly(SWEEP_INTERVAL, this::sweep);
+    parts.workers().scheduleRepeatedly(IDLE_CHECK_INTERVAL, this::endIdleTransactions);
   }
 
-  private void sweep() {
+  private void endIdleTransactions() {
     long now = parts.clock().nowNanos();
     sessions.forEach(session -> session.endIdleTransaction(now));
-    held.sweep(now);
+    heldStatements.endAbandoned(now);
   }
 
-  /** Starts to tell the control leader what this host sees of the primaries. */
+  /** Starts to report to the control leader whether the primaries respond. */
   public void startReports(ControlClient control, HostId self) {
     new PrimaryReporter(control, self, parts, refresher).start();
   }
 
   /**
-   * Works with the other hosts: gives and takes samples of primaries, runs statements over this
-   * host's connections for the others, and passes on those whose group others hold.
+   * Connects this service to the other hosts: exchanges position samples of primaries, runs
+   * statements of other hosts over this host's connections, and forwards statements whose group is
+   * held by others.
    *
-   * @param links for questions between hosts
+   * @param links for requests between hosts
    * @param statementLinks for callers' statements
    */
   public void joinHosts(
       Dispatcher dispatcher, PeerLinks links, PeerLinks statementLinks, HostState self) {
-    Holders all =
+    Holders allHolders =
         new Holders(
             self.id(), self.zone(), host -> statementLinks.to(host.innerAddress()).isConnected());
-    PeerSamples peers = new PeerSamples(links, all, parts);
-    peers.serve(dispatcher);
-    refresher.askPeers(peers);
-    held.serve(dispatcher);
-    joinHosts(all, new LinkedHolders(statementLinks), self);
+    PeerSamples peerSamples = new PeerSamples(links, allHolders, parts);
+    peerSamples.serve(dispatcher);
+    refresher.askPeers(peerSamples);
+    heldStatements.registerMethods(dispatcher);
+    joinHosts(allHolders, new PeerLinkHolderClient(statementLinks), self);
   }
 
-  void joinHosts(Holders all, HolderCalls calls, HostState self) {
-    holders = Optional.of(all);
-    forwarding = new HolderForwarding(parts, all, calls, self);
+  void joinHosts(Holders allHolders, HolderClient client, HostState self) {
+    holders = Optional.of(allHolders);
+    forwarder = new HolderForwarder(parts, allHolders, client, self);
   }
 
-  HeldStatements held() {
-    return held;
+  HeldStatements heldStatements() {
+    return heldStatements;
   }
 
   /** Returns how many connections to a server this host may open before it has a lease. */
   public int firstConnections(ServerId server) {
     View view = parts.views().current();
     return view.server(server)
-        .flatMap(state -> holders.map(all -> all.firstConnections(view, state.group())))
+        .flatMap(state -> holders.map(current -> current.initialConnections(view, state.group())))
         .orElse(1);
   }
 
@@ -185,108 +186,114 @@
     return parts;
   }
 
-  /** Returns the pools, whose size the host's leases set. */
+  /** Returns the connection pools; the host's leases set their sizes. */
   public ConnectionPools<?> pools() {
     return parts.pools();
   }
 
-  /** Returns a future that is done with the first view, or when the time is over. */
+  /** Returns a future that completes with the first view, or after the limit. */
   public CompletableFuture<Void> firstView(Duration limit) {
     return firstView.copy().completeOnTimeout(null, limit.toMillis(), TimeUnit.MILLISECONDS);
   }
 
   /**
-   * Returns why a session can't be opened, once that is known.
+   * Returns why a session can't be opened, as soon as that is known.
    *
-   * <p>Guards against callers who use up their tries on a host that has just started: its first
-   * view comes within some tenths of a second, and one that is refused until then may have no time
-   * left.
+   * <p>On a host that has just started, waits until the host serves callers, so that callers don't
+   * use up their retries: the first view arrives within some tenths of a second, and a caller that
+   * was refused before may have no time left.
    *
-   * @return empty if a session may be opened
+   * @return a future that is empty if a session may be opened
    */
   public CompletableFuture<Optional<Refusal>> admission(String database) {
-    if (draining || serving.isDone()) {
+    if (draining || servingStarted.isDone()) {
       return CompletableFuture.completedFuture(refusal(database));
     }
-    return servingSoon().thenApply(waited -> refusal(database));
+    return awaitServing().thenApply(ignored -> refusal(database));
   }
 
-  private CompletableFuture<Void> servingSoon() {
-    return serving.copy().completeOnTimeout(null, openingWaitMillis, TimeUnit.MILLISECONDS);
+  private CompletableFuture<Void> awaitServing() {
+    return servingStarted
+        .copy()
+        .completeOnTimeout(null, admissionTimeoutMillis, TimeUnit.MILLISECONDS);
   }
 
   /**
-   * Runs a task once callers may come: at once, or, on a host that others wait for, once sessions
-   * can be opened or it is time to tell that they can't.
+   * Runs a task when callers may connect: immediately, or, on a host with a serving delay, as soon
+   * as sessions can be opened or the admission timeout has passed.
    */
   public void whenCallersMayCome(Runnable task) {
-    if (othersWait) {
-      servingSoon().thenRun(task);
+    if (delaysServing) {
+      awaitServing().thenRun(task);
     } else {
       task.run();
     }
   }
 
-  /** Returns why a session on this database can't be opened now, if it can't. */
+  /** Returns why a session on this database can't be opened now; empty if it can. */
   public Optional<Refusal> refusal(String database) {
     if (draining || sessions.size() >= maxSessions) {
       return Optional.of(
-          new Refusal(RefusalCode.BUSY, draining ? "this host shuts down" : "too many sessions"));
+          new Refusal(
+              RefusalCode.BUSY,
+              draining ? "this host is shutting down" : "too many open sessions"));
     }
     Optional<ConfigurationState> configuration = parts.views().current().configuration();
     if (configuration.isEmpty()) {
-      return Optional.of(new Refusal(RefusalCode.BUSY, "no configuration yet"));
+      return Optional.of(
+          new Refusal(RefusalCode.BUSY, "this host has not received a configuration yet"));
     }
     return configuration.get().database(database).isPresent()
         ? Optional.empty()
-        : Optional.of(parts.unknown(database));
+        : Optional.of(parts.unknownDatabase(database));
   }
 
   /** Opens a session. */
   public CallerSession open(String database) {
-    CallerSession session = new CallerSession(here, forwarding, database);
+    CallerSession session = new CallerSession(local, forwarder, database);
     sessions.add(session);
     return session;
   }
 
-  /** Ends a session, and its transaction with it. */
+  /** Closes a session and rolls back its open transaction. */
   public void close(CallerSession session) {
     sessions.remove(session);
     session.close();
   }
 
-  /** Begins no new work for other hosts any more; what is open goes on. */
+  /** Refuses new statements and transactions of other hosts; open transactions continue. */
   public void stopHolding() {
-    held.stop();
+    heldStatements.stopAccepting();
   }
 
-  /** Ends the open transactions of other hosts' callers. */
+  /** Rolls back the open transactions of other hosts' callers. */
   public void abortHeld() {
-    held.abort();
+    heldStatements.rollBackAll();
   }
 
-  /** Returns how many transactions of other hosts' callers are open. */
+  /** Returns the number of open transactions of other hosts' callers. */
   public int heldTransactions() {
-    return held.openTransactions();
+    return heldStatements.openTransactionCount();
   }
 
-  /** Takes no new sessions any more. */
+  /** Refuses new sessions; open sessions continue. */
   public void drain() {
     draining = true;
   }
 
   /**
-   * Returns whether this host has what it needs to serve.
+   * Returns whether this host is ready to serve callers.
    *
-   * <p>Guards against a balancer that goes on sending callers to a host that is cut off from the
-   * control hosts and from a primary. When all hosts are, the balancer uses all of them.
+   * <p>A host that is disconnected from the control hosts and from a primary is not ready, so that
+   * the load balancer sends callers to other hosts. If no host is ready, the load balancer uses all
+   * of them.
    */
   public boolean ready() {
     View view = parts.views().current();
-    return !draining && view.configuration().isPresent() && !isolated(view);
+    return !draining && view.configuration().isPresent() && !isIsolated(view);
   }
 
-  private boolean isolated(View view) {
+  private boolean isIsolated(View view) {
     if (parts.viewConfirmed().getAsBoolean()) {
       return false;
     }
@@ -299,7 +306,7 @@
                     .hopeless());
   }
 
-  /** Returns how many sessions are open. */
+  /** Returns the number of open sessions. */
   public int sessionCount() {
     return sessions.size();
   }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/TransactionPlace.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/TransactionLocation.java
@@ -3,16 +3,16 @@
 import java.util.concurrent.CompletableFuture;
 import org.alderyard.backend.session.SessionReply;
 
-/** Where a transaction runs from its first statement on. */
-interface TransactionPlace {
+/** Where the statements of a transaction run: on a connection of this host or on another host. */
+interface TransactionLocation {
   /**
-   * Runs a further statement there.
+   * Runs a further statement of the transaction.
    *
-   * @return never fails
+   * @return a future that never fails
    */
   CompletableFuture<SessionReply> run(
       TransactionOwner owner, OpenTransaction open, StatementTask task);
 
-  /** Ends the transaction there without keeping anything. */
+  /** Rolls back the transaction. */
   void rollBack();
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/TransactionOwner.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/TransactionOwner.java
@@ -5,17 +5,23 @@
 import org.alderyard.backend.session.SessionReply;
 import org.alderyard.common.view.DatabaseState;
 
-/** Whose transaction it is: a caller's session on this host, or one on another host. */
+/**
+ * The session of a transaction: a caller session on this host, or its counterpart for a caller of
+ * another host.
+ */
 interface TransactionOwner {
-  /** Returns what a server must hold for a read; empty if it must be the primary. */
-  CompletableFuture<Optional<GroupRouting.Floor>> floor(DatabaseState database);
+  /**
+   * Returns the position that a server must hold for a read of the transaction; empty if the read
+   * must run on the primary.
+   */
+  CompletableFuture<Optional<GroupRouting.Floor>> readFloor(DatabaseState database);
 
-  /** Remembers the position of a commit, for the reads that must see it. */
-  void remember(DatabaseState database, SessionReply reply);
+  /** Records the position of a commit for reads that must see it. */
+  void recordWrite(DatabaseState database, SessionReply reply);
 
-  /** Ends the transaction without keeping anything. */
+  /** Rolls back the transaction. */
   void rollBack();
 
-  /** The transaction has ended, and its connection was given back. */
+  /** Called after the transaction has ended and its connection was released. */
   void transactionEnded();
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/TransactionStatement.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/TransactionStatement.java
@@ -7,8 +7,8 @@
 import org.alderyard.backend.session.TransactionState;
 
 /**
- * One statement of an open transaction: the first one looks for a place, here or at a host that
- * holds connections, and the others run there.
+ * One statement of an open transaction. The first statement selects the location of the
+ * transaction, on this host or on a holder, and further statements run there.
  */
 final class TransactionStatement {
   private final SessionParts parts;
@@ -25,43 +25,48 @@
   }
 
   /**
-   * Runs it.
+   * Runs the statement.
    *
-   * @param forwarding may run the first statement elsewhere
-   * @param written the position of the session's own last write
-   * @return never fails
+   * @param forwarder may run the first statement on another host
+   * @param lastWrite the position of the session's last write
+   * @return a future that never fails
    */
-  CompletableFuture<SessionReply> run(Forwarding forwarding, Optional<GroupRouting.Floor> written) {
+  CompletableFuture<SessionReply> run(
+      StatementForwarder forwarder, Optional<GroupRouting.Floor> lastWrite) {
     if (task.kind() == StatementKind.WRITE) {
-      open.wrote();
+      open.markWritten();
     }
-    Optional<TransactionPlace> place = open.place();
-    if (place.isPresent()) {
-      return place.get().run(owner, open, task);
+    Optional<TransactionLocation> location = open.location();
+    if (location.isPresent()) {
+      return location.get().run(owner, open, task);
     }
-    return forwarding
-        .first(task, open.readOnly(), written)
+    return forwarder
+        .forwardFirst(task, open.readOnly(), lastWrite)
         .thenCompose(
-            started ->
-                started
-                    .map(elsewhere -> begun(elsewhere.reply(), elsewhere.place()))
+            forwarded ->
+                forwarded
+                    .map(remote -> handleFirstReply(remote.reply(), remote.location()))
                     .map(CompletableFuture::completedFuture)
-                    .orElseGet(this::firstHere));
+                    .orElseGet(this::runFirstLocally));
   }
 
-  private CompletableFuture<SessionReply> firstHere() {
+  private CompletableFuture<SessionReply> runFirstLocally() {
     CompletableFuture<Optional<GroupRouting.Floor>> floor =
         open.readOnly()
-            ? owner.floor(open.database())
+            ? owner.readFloor(open.database())
             : CompletableFuture.completedFuture(Optional.empty());
     return floor
-        .thenApply(f -> f.map(ServerDemand::readTransaction).orElseGet(ServerDemand::transaction))
+        .thenApply(
+            readFloor ->
+                readFloor.map(ServerDemand::readTransaction).orElseGet(ServerDemand::transaction))
         .thenCompose(demand -> new StatementRun(parts, task, demand).run())
-        .thenApply(result -> begun(result.reply(), result.pinned().map(pinned -> pinned)));
+        .thenApply(
+            result -> handleFirstReply(result.reply(), result.pinned().map(pinned -> pinned)));
   }
 
-  private SessionReply begun(SessionReply reply, Optional<TransactionPlace> place) {
-    place.filter(found -> !open.runAt(found)).ifPresent(TransactionPlace::rollBack);
+  private SessionReply handleFirstReply(
+      SessionReply reply, Optional<TransactionLocation> location) {
+    location.filter(assigned -> !open.tryAssign(assigned)).ifPresent(TransactionLocation::rollBack);
     if (reply.state() != TransactionState.OPEN) {
       owner.rollBack();
     }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/package-info.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/package-info.java
@@ -1,15 +1,16 @@
 /**
- * Sessions of callers over pooled connections to backend servers.
+ * Caller sessions over pooled connections to backend servers.
  *
- * <p>{@link org.alderyard.proxy.callersession.CallerSession} keeps what a caller set and prepared,
- * and its transaction. {@link org.alderyard.proxy.callersession.StatementRun} looks for a server
- * that may run a statement, and goes on to the next one as long as it is proved that nothing ran.
- * {@link org.alderyard.proxy.callersession.GroupRouting} knows what servers have shown lately.
+ * <p>{@link org.alderyard.proxy.callersession.CallerSession} holds a caller's session values,
+ * prepared statements and transaction. {@link org.alderyard.proxy.callersession.StatementRun}
+ * selects a server for a statement and retries on another one as long as the statement is known not
+ * to have run. {@link org.alderyard.proxy.callersession.GroupRouting} holds the recent state of a
+ * group's servers.
  *
- * <p>In a large fleet {@link org.alderyard.proxy.callersession.HolderAssignment} says which hosts
- * hold the connections to a group. The other hosts send statements there with {@link
- * org.alderyard.proxy.callersession.HolderForwarding}, and {@link
- * org.alderyard.proxy.callersession.HeldStatements} runs them by the same code that serves callers
- * of the holder itself.
+ * <p>In a large fleet {@link org.alderyard.proxy.callersession.HolderAssignment} selects the hosts
+ * that hold the connections to a group. The other hosts forward their statements with {@link
+ * org.alderyard.proxy.callersession.HolderForwarder}, and {@link
+ * org.alderyard.proxy.callersession.HeldStatements} runs forwarded statements with the same code as
+ * statements of the holder's own callers.
  */
 package org.alderyard.proxy.callersession;
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/CallerSessionTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/CallerSessionTest.java
@@ -20,28 +20,28 @@
     fixture.close();
   }
 
-  private List<Ran> ran(String server) {
+  private List<Ran> statementsRun(String server) {
     return fixture.group.server(server).ran();
   }
 
   @Test
-  void valuesAndPreparedNamesOfTwoSessionsNeverMixOnSharedConnection() {
-    // Two callers prepare different statements under one name and set the same value differently.
-    // Their statements share pooled connections in turn. A mixed value or shape would read or
-    // write what the caller did not ask for.
-    SessionFixture.Caller one = fixture.caller(SessionFixture.NEWEST);
-    SessionFixture.Caller two = fixture.caller(SessionFixture.NEWEST);
-    one.set("lang", "fr");
-    two.set("lang", "br");
-    one.prepare("p", StatementKind.READ, "shape-one");
-    two.prepare("p", StatementKind.READ, "shape-two");
+  void valuesAndPreparedStatementsAreSeparateOnSharedConnection() {
+    // Two callers prepare different statements under the same name and set the same value
+    // differently, and their statements alternate on a shared pooled connection. If the values or
+    // statements were mixed up, a statement would read or write the wrong data.
+    SessionFixture.Caller first = fixture.caller(SessionFixture.NEWEST);
+    SessionFixture.Caller second = fixture.caller(SessionFixture.NEWEST);
+    first.set("lang", "fr");
+    second.set("lang", "br");
+    first.prepare("p", StatementKind.READ, "shape-one");
+    second.prepare("p", StatementKind.READ, "shape-two");
 
     for (int i = 0; i < 3; i++) {
-      assertThat(one.execute("p", "a").succeeded()).isTrue();
-      assertThat(two.execute("p", "a").succeeded()).isTrue();
+      assertThat(first.execute("p", "a").succeeded()).isTrue();
+      assertThat(second.execute("p", "a").succeeded()).isTrue();
     }
 
-    List<Map<String, String>> values = ran("s1").stream().map(Ran::values).toList();
+    List<Map<String, String>> values = statementsRun("s1").stream().map(Ran::values).toList();
     assertThat(values)
         .containsExactly(
             Map.of("lang", "fr"),
@@ -51,43 +51,44 @@
             Map.of("lang", "fr"),
             Map.of("lang", "br"))
         .inOrder();
-    assertThat(ran("s1").stream().map(Ran::statement).distinct().count()).isEqualTo(2);
+    assertThat(statementsRun("s1").stream().map(Ran::statement).distinct().count()).isEqualTo(2);
   }
 
   @Test
-  void valueOfAnEarlierSessionIsGoneWhenTheNextOneUsesItsConnection() {
-    // A caller sets a value and leaves. The next one, who set nothing, gets its connection and must
-    // not run under the stranger's value.
-    SessionFixture.Caller one = fixture.caller(SessionFixture.NEWEST);
-    one.set("discount", "100");
-    one.read("a");
-    fixture.service.close(one.session);
+  void valueOfEarlierSessionIsResetBeforeConnectionIsReused() {
+    // A caller sets a value and disconnects. The next caller gets the same connection and must not
+    // run with that value.
+    SessionFixture.Caller first = fixture.caller(SessionFixture.NEWEST);
+    first.set("discount", "100");
+    first.read("a");
+    fixture.service.close(first.session);
 
     fixture.caller(SessionFixture.NEWEST).read("a");
 
-    assertThat(ran("s1").get(1).values()).isEmpty();
-    assertThat(ran("s1").get(1).connection()).isEqualTo(ran("s1").get(0).connection());
+    assertThat(statementsRun("s1").get(1).values()).isEmpty();
+    assertThat(statementsRun("s1").get(1).connection())
+        .isEqualTo(statementsRun("s1").get(0).connection());
   }
 
   @Test
-  void transactionRunsOnOneConnectionAndOthersKeepOffIt() {
-    // A caller pauses inside its transaction; another caller's statement comes in the pause. On
-    // the same connection it would be part of the stranger's transaction.
-    SessionFixture.Caller one = fixture.caller(SessionFixture.NEWEST);
-    one.begin();
-    one.write("kit", "1");
+  void transactionRunsOnOneConnectionThatOtherSessionsDoNotUse() {
+    // Another caller's statement arrives while a transaction is open. On the same connection the
+    // statement would become part of that transaction.
+    SessionFixture.Caller first = fixture.caller(SessionFixture.NEWEST);
+    first.begin();
+    first.write("kit", "1");
     fixture.caller(SessionFixture.NEWEST).read("kit");
-    one.write("kit", "2");
-    assertThat(one.commit().succeeded()).isTrue();
+    first.write("kit", "2");
+    assertThat(first.commit().succeeded()).isTrue();
 
-    List<Ran> ran = ran("s1");
+    List<Ran> ran = statementsRun("s1");
     assertThat(ran.get(0).connection()).isEqualTo(ran.get(2).connection());
     assertThat(ran.get(1).connection()).isNotEqualTo(ran.get(0).connection());
     assertThat(fixture.caller(SessionFixture.NEWEST).read("kit").rows()).containsExactly("2");
   }
 
   @Test
-  void rolledBackTransactionKeepsNothingAndFreesItsConnection() {
+  void rollbackDiscardsWritesAndReleasesConnection() {
     SessionFixture.Caller caller = fixture.caller(SessionFixture.NEWEST);
     caller.begin();
     caller.write("kit", "1");
@@ -98,19 +99,19 @@
   }
 
   @Test
-  void writeWhoseAnswerIsLostIsInDoubtAndIsNotSentAgain() {
-    // A packer closes a parcel; the server does it and its answer is lost. To be told "not run", or
-    // to send it again, would close the parcel twice.
+  void writeWithLostReplyIsInDoubtAndIsNotResent() {
+    // The server runs a write and the reply is lost. Reporting the write as not run, or sending it
+    // again, would let it run twice.
     fixture.group.server("s1").loseAnswers(1);
 
     SessionReply reply = fixture.caller(SessionFixture.NEWEST).write("parcel", "closed");
 
     assertThat(reply.refusedWith(RefusalCode.IN_DOUBT)).isTrue();
-    assertThat(ran("s1")).hasSize(1);
+    assertThat(statementsRun("s1")).hasSize(1);
   }
 
   @Test
-  void commitWhoseAnswerIsLostIsInDoubt() {
+  void commitWithLostReplyIsInDoubt() {
     SessionFixture.Caller caller = fixture.caller(SessionFixture.NEWEST);
     caller.begin();
     caller.write("parcel", "closed");
@@ -123,17 +124,17 @@
   }
 
   @Test
-  void transactionThatLosesItsServerBeforeItsCommitKeepsNothingAndSaysSo() {
-    // The primary dies under an open transaction. Its commit was never sent, so "nothing kept" is
-    // true, and the caller may begin again at once.
+  void transactionIsAbortedIfServerFailsBeforeCommit() {
+    // The primary fails during an open transaction. The commit was never sent, so that the
+    // transaction is known to be rolled back and the caller may begin another one immediately.
     SessionFixture.Caller caller = fixture.caller(SessionFixture.NEWEST);
     caller.begin();
     caller.write("kit", "1");
     fixture.group.server("s1").unreachable(true);
 
-    SessionReply second = caller.write("kit", "2");
-    assertThat(second.refusedWith(RefusalCode.ABORTED)).isTrue();
-    assertThat(second.state()).isEqualTo(TransactionState.FAILED);
+    SessionReply reply = caller.write("kit", "2");
+    assertThat(reply.refusedWith(RefusalCode.ABORTED)).isTrue();
+    assertThat(reply.state()).isEqualTo(TransactionState.FAILED);
     assertThat(caller.read("kit").refusedWith(RefusalCode.MALFORMED)).isTrue();
     assertThat(caller.commit().refusedWith(RefusalCode.ABORTED)).isTrue();
 
@@ -142,7 +143,7 @@
   }
 
   @Test
-  void idleTransactionIsEndedAndItsNextStatementIsTold() {
+  void idleTransactionIsRolledBackAndItsNextStatementIsRefused() {
     SessionFixture.Caller caller = fixture.caller(SessionFixture.NEWEST);
     caller.begin();
     caller.write("kit", "1");
@@ -157,7 +158,7 @@
   }
 
   @Test
-  void statementsThatDoNotFitTheStateAreRefused() {
+  void statementsThatAreInvalidInTheCurrentStateAreRefused() {
     SessionFixture.Caller caller = fixture.caller(SessionFixture.NEWEST);
     assertThat(caller.commit().refusedWith(RefusalCode.MALFORMED)).isTrue();
     assertThat(caller.rollback().refusedWith(RefusalCode.MALFORMED)).isTrue();
@@ -169,7 +170,7 @@
   }
 
   @Test
-  void unknownDatabaseIsRefusedAtTheOpening() {
+  void unknownDatabaseIsRefusedWhenSessionIsOpened() {
     assertThat(fixture.service.refusal("nowhere").orElseThrow().code())
         .isEqualTo(RefusalCode.UNKNOWN_DATABASE);
     assertThat(fixture.service.refusal(SessionFixture.BOUNDED)).isEmpty();
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/FleetFixture.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/FleetFixture.java
@@ -20,31 +20,31 @@
 import org.alderyard.protocol.generated.statement.HeldStatementRequest;
 import org.alderyard.testkit.session.ModelGroup;
 
-/** Several hosts over one group in memory, of which one in each zone holds connections. */
+/** Several hosts that share an in-memory group. One host in each zone holds connections. */
 final class FleetFixture implements AutoCloseable {
-  /** Fewer than there are hosts, so that not all of them hold connections. */
-  private static final int CONNECTIONS = 2;
+  /** Fewer connections per server than hosts, so that not all hosts hold connections. */
+  private static final int CONNECTIONS_PER_SERVER = 2;
 
   private static final int FIRST_PORT = 7_000;
 
-  /** How a host treats what other hosts send it. */
-  enum Manner {
-    GOOD,
-    /** Takes no connection. */
+  /** How a holder handles forwarded statements. */
+  enum Behavior {
+    NORMAL,
+    /** Refuses connections. */
     DOWN,
-    /** Takes everything, does nothing and never answers. */
-    STANDS_STILL,
-    /** Does everything, and its answers get lost. */
-    LOSES_ANSWERS
+    /** Accepts statements, does not run them and does not reply. */
+    HANGS,
+    /** Runs statements, but its replies are lost. */
+    LOSES_REPLIES
   }
 
   final ModelGroup group = new ModelGroup("g1", "s1", "s2", "s3");
   final List<HostState> states = new ArrayList<>();
   final Map<HostId, SessionFixture> hosts = new HashMap<>();
-  private final Map<HostId, Manner> manners = new HashMap<>();
-  private final AtomicInteger sent = new AtomicInteger();
+  private final Map<HostId, Behavior> behaviors = new HashMap<>();
+  private final AtomicInteger sentStatements = new AtomicInteger();
 
-  /** Creates a host in each of these zones. */
+  /** Creates one host per zone name; a name may occur several times. */
   FleetFixture(String... zones) {
     for (String zone : zones) {
       int number = states.size();
@@ -62,13 +62,13 @@
     for (HostState state : states) {
       SessionFixture host = new SessionFixture(state.zone().value(), group);
       hosts.put(state.id(), host);
-      host.join(states, CONNECTIONS);
+      host.join(states, CONNECTIONS_PER_SERVER);
       host.service.joinHosts(
-          new Holders(state.id(), state.zone(), holder -> true), new Calls(), state);
+          new Holders(state.id(), state.zone(), holder -> true), new FakeHolderClient(), state);
     }
   }
 
-  /** Returns the holders, as every host computes them. */
+  /** Returns the holders of the group, which are the same on all hosts. */
   List<HostState> holders() {
     return new HolderAssignment()
         .holders(hosts.get(states.get(0).id()).views.current(), group.id())
@@ -79,8 +79,8 @@
     return hosts.get(state.id());
   }
 
-  /** Returns a host that holds no connections. */
-  SessionFixture other() {
+  /** Returns a host that is not a holder. */
+  SessionFixture nonHolder() {
     List<HostState> holders = holders();
     return states.stream()
         .filter(state -> !holders.contains(state))
@@ -89,54 +89,54 @@
         .orElseThrow();
   }
 
-  /** Returns how many statements were sent to holders. */
-  int sent() {
-    return sent.get();
+  /** Returns the number of statements sent to holders. */
+  int sentStatements() {
+    return sentStatements.get();
   }
 
-  void manner(HostState host, Manner manner) {
-    manners.put(host.id(), manner);
+  void behavior(HostState host, Behavior behavior) {
+    behaviors.put(host.id(), behavior);
   }
 
-  private final class Calls implements HolderCalls {
+  private final class FakeHolderClient implements HolderClient {
     @Override
     public CompletableFuture<HeldStatementReply> run(
         HostState holder, HeldStatementRequest request, Duration timeout) {
-      sent.incrementAndGet();
-      return switch (manners.getOrDefault(holder.id(), Manner.GOOD)) {
-        case GOOD -> serve(holder, request);
+      sentStatements.incrementAndGet();
+      return switch (behaviors.getOrDefault(holder.id(), Behavior.NORMAL)) {
+        case NORMAL -> serve(holder, request);
         case DOWN ->
             CompletableFuture.failedFuture(
                 AlderyardException.notRun(ErrorCode.CONNECTION_LOST, "down"));
-        case STANDS_STILL -> never(timeout);
-        case LOSES_ANSWERS -> serve(holder, request).thenCompose(reply -> never(timeout));
+        case HANGS -> timeOut(timeout);
+        case LOSES_REPLIES -> serve(holder, request).thenCompose(reply -> timeOut(timeout));
       };
     }
 
     private CompletableFuture<HeldStatementReply> serve(
         HostState holder, HeldStatementRequest request) {
       try {
-        return host(holder).service.held().run(request);
+        return host(holder).service.heldStatements().run(request);
       } catch (AlderyardException refused) {
         return CompletableFuture.failedFuture(refused);
       }
     }
 
-    private CompletableFuture<HeldStatementReply> never(Duration timeout) {
-      CompletableFuture<HeldStatementReply> never = new CompletableFuture<>();
-      return never
+    private CompletableFuture<HeldStatementReply> timeOut(Duration timeout) {
+      CompletableFuture<HeldStatementReply> pending = new CompletableFuture<>();
+      return pending
           .orTimeout(timeout.toNanos(), TimeUnit.NANOSECONDS)
           .exceptionallyCompose(
-              late ->
+              failure ->
                   CompletableFuture.failedFuture(
                       new AlderyardException(
-                          ErrorCode.DEADLINE_EXCEEDED, Outcome.OUTCOME_UNKNOWN, "no answer")));
+                          ErrorCode.DEADLINE_EXCEEDED, Outcome.OUTCOME_UNKNOWN, "no reply")));
     }
 
     @Override
     public void end(HostState holder, EndHeldTransactionRequest request) {
-      if (manners.getOrDefault(holder.id(), Manner.GOOD) == Manner.GOOD) {
-        host(holder).service.held().end(request);
+      if (behaviors.getOrDefault(holder.id(), Behavior.NORMAL) == Behavior.NORMAL) {
+        host(holder).service.heldStatements().end(request);
       }
     }
   }
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/HolderAssignmentTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/HolderAssignmentTest.java
@@ -20,17 +20,17 @@
 class HolderAssignmentTest {
   private static final int ZONES = 5;
   private static final int GROUPS = 14;
-  private static final int CONNECTIONS = 75;
+  private static final int CONNECTIONS_PER_SERVER = 75;
 
   private final HolderAssignment assignment = new HolderAssignment();
 
   @Test
-  void everybodyHoldsWhereConnectionsSuffice() {
-    assertThat(assignment.holders(view(CONNECTIONS * 2 / 3, 1), group(0))).isEmpty();
+  void allHostsHoldConnectionsIfServersAcceptEnough() {
+    assertThat(assignment.holders(view(CONNECTIONS_PER_SERVER * 2 / 3, 1), group(0))).isEmpty();
   }
 
   @Test
-  void fleetHasHoldersInEachZone() {
+  void eachZoneHasHolders() {
     List<HostState> holders = assignment.holders(view(100, 5), group(0)).orElseThrow();
 
     assertThat(holders.stream().map(HostState::zone).collect(Collectors.toSet())).hasSize(ZONES);
@@ -38,8 +38,9 @@
   }
 
   @Test
-  void workIsSpreadOverTheFleet() {
-    // A host that held connections to most groups would be slow, and its loss dear.
+  void holdersOfAllGroupsAreSpreadOverTheFleet() {
+    // A host that held connections to most groups would be overloaded, and its failure would affect
+    // all of them.
     View view = view(100, 5);
     Set<HostId> all = new HashSet<>();
     for (int i = 0; i < GROUPS; i++) {
@@ -50,17 +51,18 @@
   }
 
   @Test
-  void controlHostsAreLeftToTheirOwnWork() {
+  void controlHostsAreNotHolders() {
     View view = view(100, 5);
     for (int i = 0; i < GROUPS; i++) {
       assertThat(
-              assignment.holders(view, group(i)).orElseThrow().stream().noneMatch(h -> h.control()))
+              assignment.holders(view, group(i)).orElseThrow().stream()
+                  .noneMatch(host -> host.control()))
           .isTrue();
     }
   }
 
   @Test
-  void hostThatLeavesMovesOnlyItsOwnPlace() {
+  void removedHostChangesOnlyItsOwnAssignment() {
     View before = view(100, 5);
     List<HostState> holders = assignment.holders(before, group(3)).orElseThrow();
     View.Editor editor = before.edit();
@@ -74,25 +76,27 @@
   }
 
   @Test
-  void drainingHostHoldsNothing() {
+  void drainingHostIsNotHolder() {
     View before = view(100, 5);
-    HostState leaving = assignment.holders(before, group(3)).orElseThrow().get(0);
+    HostState drainingHost = assignment.holders(before, group(3)).orElseThrow().get(0);
     View.Editor editor = before.edit();
-    editor.hosts().put(leaving.id(), host(leaving.id().value(), leaving.zone(), false, true));
+    editor
+        .hosts()
+        .put(drainingHost.id(), host(drainingHost.id().value(), drainingHost.zone(), false, true));
 
     assertThat(
             assignment.holders(editor.at(new ViewVersion(1, 2)), group(3)).orElseThrow().stream()
-                .noneMatch(holder -> holder.id().equals(leaving.id())))
+                .noneMatch(holder -> holder.id().equals(drainingHost.id())))
         .isTrue();
   }
 
   @Test
-  void holdersTogetherLeaveRoomForThoseThatTakeOver() {
+  void holdersLeaveConnectionsForHostsThatTakeOver() {
     View view = view(100, 5);
     int holders = assignment.holders(view, group(0)).orElseThrow().size();
-    int together = holders * HolderAssignment.firstConnections(view, group(0), holders);
+    int connections = holders * HolderAssignment.initialConnections(view, group(0), holders);
 
-    assertThat(together).isAtMost(CONNECTIONS / 2);
+    assertThat(connections).isAtMost(CONNECTIONS_PER_SERVER / 2);
   }
 
   private static GroupId group(int number) {
@@ -104,7 +108,9 @@
     for (int i = 0; i < GROUPS; i++) {
       editor
           .groups()
-          .put(group(i), new GroupState(group(i), 1, Optional.empty(), List.of(), 5, CONNECTIONS));
+          .put(
+              group(i),
+              new GroupState(group(i), 1, Optional.empty(), List.of(), 5, CONNECTIONS_PER_SERVER));
     }
     for (int i = 0; i < hosts; i++) {
       HostState host = host("h" + i, new ZoneName("z" + i % ZONES), i < control, false);
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/HolderForwardingTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/HolderForwarderTest.java
@@ -20,8 +20,8 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Callers on hosts without connections, served through the hosts that hold them. */
-class HolderForwardingTest {
+/** Statements of callers on hosts without connections, which holders run. */
+class HolderForwarderTest {
   private static final int HOSTS = 12;
   private static final int STATEMENTS = 100;
 
@@ -33,9 +33,10 @@
   }
 
   @Test
-  void fleetOpensConnectionsFromItsHoldersOnly() {
-    // Pattern: more hosts than a server accepts connections. Each opened its own, servers reset
-    // most of them, and statements waited for one that stayed.
+  void onlyHoldersOpenConnections() {
+    // If each of a larger number of hosts than a server accepts connections opened a connection,
+    // servers would reset most of them, and statements would wait for one of the remaining
+    // connections.
     fleet.close();
     String[] zones = new String[HOSTS];
     Arrays.fill(zones, "z0");
@@ -51,7 +52,7 @@
 
   @Test
   void writeIsReadBackOnEveryHost() {
-    fleet.other().caller(SessionFixture.NEWEST).write("room", "new");
+    fleet.nonHolder().caller(SessionFixture.NEWEST).write("room", "new");
 
     fleet.states.forEach(
         state ->
@@ -60,9 +61,9 @@
   }
 
   @Test
-  void ownWritesTravelWithTheSession() {
-    SessionFixture.Caller caller = fleet.other().caller(SessionFixture.OWN_WRITES);
-    fleet.other().caller(SessionFixture.NEWEST).write("room", "old");
+  void sessionReadsItsOwnWrites() {
+    SessionFixture.Caller caller = fleet.nonHolder().caller(SessionFixture.OWN_WRITES);
+    fleet.nonHolder().caller(SessionFixture.NEWEST).write("room", "old");
     fleet.group.replicate();
     caller.write("room", "new");
 
@@ -70,8 +71,8 @@
   }
 
   @Test
-  void valuesAndPreparedStatementsTravelWithEachStatement() {
-    SessionFixture.Caller caller = fleet.other().caller(SessionFixture.NEWEST);
+  void valuesAndPreparedStatementsAreForwarded() {
+    SessionFixture.Caller caller = fleet.nonHolder().caller(SessionFixture.NEWEST);
     caller.set("zone", "a");
     caller.prepare("p", StatementKind.READ, "shape");
 
@@ -80,8 +81,8 @@
   }
 
   @Test
-  void transactionStaysOnOneConnectionOfTheHolder() {
-    SessionFixture.Caller caller = fleet.other().caller(SessionFixture.NEWEST);
+  void transactionUsesOneConnectionOfTheHolder() {
+    SessionFixture.Caller caller = fleet.nonHolder().caller(SessionFixture.NEWEST);
     caller.begin();
     caller.write("a", "1");
     caller.write("b", "2");
@@ -96,8 +97,8 @@
   }
 
   @Test
-  void commitOfForwardedTransactionIsSeenByTheSessionsReads() {
-    SessionFixture.Caller caller = fleet.other().caller(SessionFixture.OWN_WRITES);
+  void sessionReadsSeeItsForwardedCommit() {
+    SessionFixture.Caller caller = fleet.nonHolder().caller(SessionFixture.OWN_WRITES);
     caller.begin();
     caller.write("a", "1");
     caller.commit();
@@ -106,8 +107,8 @@
   }
 
   @Test
-  void rollbackReachesTheHolder() {
-    SessionFixture.Caller caller = fleet.other().caller(SessionFixture.NEWEST);
+  void rollbackIsForwardedToTheHolder() {
+    SessionFixture.Caller caller = fleet.nonHolder().caller(SessionFixture.NEWEST);
     caller.begin();
     caller.write("a", "1");
     caller.rollback();
@@ -117,8 +118,8 @@
   }
 
   @Test
-  void callerThatLeavesEndsItsTransactionAtTheHolder() {
-    SessionFixture host = fleet.other();
+  void closingSessionRollsBackTransactionOnTheHolder() {
+    SessionFixture host = fleet.nonHolder();
     SessionFixture.Caller caller = host.caller(SessionFixture.NEWEST);
     caller.begin();
     caller.write("a", "1");
@@ -128,23 +129,23 @@
   }
 
   @Test
-  void holderThatIsDownIsPassedOver() {
-    fleet.manner(holderOf("z0"), FleetFixture.Manner.DOWN);
+  void unreachableHolderIsSkipped() {
+    fleet.behavior(holderOf("z0"), FleetFixture.Behavior.DOWN);
 
-    SessionFixture.Caller caller = fleet.other().caller(SessionFixture.NEWEST);
+    SessionFixture.Caller caller = fleet.nonHolder().caller(SessionFixture.NEWEST);
 
     assertThat(caller.write("a", "1").succeeded()).isTrue();
     assertThat(fleet.group.server("s1").ran()).hasSize(1);
   }
 
   @Test
-  void hostServesByItselfOnceNoHolderHasBeenThereForWhile() {
-    SessionFixture host = fleet.other();
+  void hostUsesOwnConnectionsAfterAllHoldersWereUnreachable() {
+    SessionFixture host = fleet.nonHolder();
     SessionFixture.Caller caller = host.caller(SessionFixture.NEWEST);
-    fleet.holders().forEach(holder -> fleet.manner(holder, FleetFixture.Manner.DOWN));
+    fleet.holders().forEach(holder -> fleet.behavior(holder, FleetFixture.Behavior.DOWN));
 
-    // A cold machine may spend the first statement's time on the first holder.
-    while (fleet.sent() < fleet.holders().size()) {
+    // On a slow machine the first statement may time out on the first holder.
+    while (fleet.sentStatements() < fleet.holders().size()) {
       assertThat(caller.write("a", "1").refusedWith(RefusalCode.BUSY)).isTrue();
     }
     assertThat(fleet.group.connectionCount()).isEqualTo(0);
@@ -153,86 +154,88 @@
   }
 
   @Test
-  void slowHoldersAreNotSentEachStatementTwice() {
-    // Pattern: all hosts start at once and are slow. Each statement went to one holder after the
-    // other, and the fleet worked on what nobody waited for any more.
-    fleet.holders().forEach(holder -> fleet.manner(holder, FleetFixture.Manner.STANDS_STILL));
-    List<CompletableFuture<SessionReply>> answers = new ArrayList<>();
+  void resendsToSlowHoldersAreLimited() {
+    // All hosts start at the same time and are slow. If each statement was sent to one holder after
+    // the other, the fleet would spend its time on statements whose callers have given up.
+    fleet.holders().forEach(holder -> fleet.behavior(holder, FleetFixture.Behavior.HANGS));
+    List<CompletableFuture<SessionReply>> replies = new ArrayList<>();
     for (int i = 0; i < STATEMENTS; i++) {
-      SessionFixture.Caller caller = fleet.other().caller(SessionFixture.NEWEST);
-      answers.add(caller.session.handle("r" + i, new Read("a")));
+      SessionFixture.Caller caller = fleet.nonHolder().caller(SessionFixture.NEWEST);
+      replies.add(caller.session.handle("r" + i, new Read("a")));
     }
-    answers.forEach(answer -> answer.orTimeout(5, TimeUnit.SECONDS).join());
+    replies.forEach(reply -> reply.orTimeout(5, TimeUnit.SECONDS).join());
 
-    assertThat(fleet.sent()).isAtMost(STATEMENTS + STATEMENTS / 10 + 11);
+    assertThat(fleet.sentStatements()).isAtMost(STATEMENTS + STATEMENTS / 10 + 11);
   }
 
   @Test
-  void readBehindHolderThatStandsStillIsRunByAnother() {
-    fleet.manner(holderOf("z0"), FleetFixture.Manner.STANDS_STILL);
+  void readIsResentIfHolderHangs() {
+    fleet.behavior(holderOf("z0"), FleetFixture.Behavior.HANGS);
 
-    assertThat(fleet.other().caller(SessionFixture.NEWEST).read("a").succeeded()).isTrue();
+    assertThat(fleet.nonHolder().caller(SessionFixture.NEWEST).read("a").succeeded()).isTrue();
   }
 
   @Test
-  void writeWhoseHolderGaveNoAnswerIsInDoubtAndRunsOnce() {
-    fleet.manner(holderOf("z0"), FleetFixture.Manner.LOSES_ANSWERS);
+  void writeWithLostReplyIsInDoubtAndRunsOnce() {
+    fleet.behavior(holderOf("z0"), FleetFixture.Behavior.LOSES_REPLIES);
 
-    SessionReply reply = fleet.other().caller(SessionFixture.NEWEST).write("a", "1");
+    SessionReply reply = fleet.nonHolder().caller(SessionFixture.NEWEST).write("a", "1");
 
     assertThat(reply.refusedWith(RefusalCode.IN_DOUBT)).isTrue();
     assertThat(fleet.group.server("s1").ran()).hasSize(1);
   }
 
   @Test
-  void transactionWhoseHolderIsLostKeepsNothingBeforeItsCommit() {
-    SessionFixture.Caller caller = fleet.other().caller(SessionFixture.NEWEST);
+  void transactionIsAbortedIfHolderFailsBeforeCommit() {
+    SessionFixture.Caller caller = fleet.nonHolder().caller(SessionFixture.NEWEST);
     caller.begin();
     caller.write("a", "1");
-    fleet.holders().forEach(holder -> fleet.manner(holder, FleetFixture.Manner.DOWN));
+    fleet.holders().forEach(holder -> fleet.behavior(holder, FleetFixture.Behavior.DOWN));
 
     assertThat(caller.write("b", "2").refusedWith(RefusalCode.ABORTED)).isTrue();
     assertThat(caller.commit().refusedWith(RefusalCode.ABORTED)).isTrue();
-    fleet.holders().forEach(holder -> fleet.manner(holder, FleetFixture.Manner.GOOD));
-    assertThat(fleet.other().caller(SessionFixture.NEWEST).read("a").rows()).containsExactly("");
+    fleet.holders().forEach(holder -> fleet.behavior(holder, FleetFixture.Behavior.NORMAL));
+    assertThat(fleet.nonHolder().caller(SessionFixture.NEWEST).read("a").rows())
+        .containsExactly("");
   }
 
   @Test
-  void commitWhoseAnswerIsLostIsInDoubt() {
-    SessionFixture.Caller caller = fleet.other().caller(SessionFixture.NEWEST);
+  void commitWithLostReplyIsInDoubt() {
+    SessionFixture.Caller caller = fleet.nonHolder().caller(SessionFixture.NEWEST);
     caller.begin();
     caller.write("a", "1");
-    fleet.holders().forEach(holder -> fleet.manner(holder, FleetFixture.Manner.LOSES_ANSWERS));
+    fleet.holders().forEach(holder -> fleet.behavior(holder, FleetFixture.Behavior.LOSES_REPLIES));
 
     assertThat(caller.commit().refusedWith(RefusalCode.IN_DOUBT)).isTrue();
   }
 
   @Test
-  void holderThatStopsBeginsNothingAndFinishesWhatIsOpen() {
-    SessionFixture.Caller caller = fleet.other().caller(SessionFixture.NEWEST);
+  void stoppingHolderRefusesNewStatementsAndFinishesOpenTransactions() {
+    SessionFixture.Caller caller = fleet.nonHolder().caller(SessionFixture.NEWEST);
     caller.begin();
     caller.write("a", "1");
     fleet.host(holderOf("z0")).service.stopHolding();
 
     assertThat(caller.commit().succeeded()).isTrue();
-    assertThat(fleet.other().caller(SessionFixture.NEWEST).write("b", "1").succeeded()).isTrue();
+    assertThat(fleet.nonHolder().caller(SessionFixture.NEWEST).write("b", "1").succeeded())
+        .isTrue();
   }
 
   @Test
-  void transactionOfCallerWhoseHostIsGoneEndsByItself() {
-    SessionFixture.Caller caller = fleet.other().caller(SessionFixture.NEWEST);
+  void abandonedTransactionIsRolledBackByTheHolder() {
+    SessionFixture.Caller caller = fleet.nonHolder().caller(SessionFixture.NEWEST);
     caller.begin();
     caller.write("a", "1");
     assertThat(heldTransactions()).isEqualTo(1);
 
     long later = System.nanoTime() + 2_000_000L * (SessionFixture.IDLE_MILLIS + 100);
-    fleet.hosts.values().forEach(host -> host.service.held().sweep(later));
+    fleet.hosts.values().forEach(host -> host.service.heldStatements().endAbandoned(later));
 
     assertThat(heldTransactions()).isEqualTo(0);
   }
 
   @Test
-  void statementsOfOneHostGoToTheHolderOfItsZone() {
+  void bothZonesHaveHolders() {
     Set<String> zones = new HashSet<>();
     fleet.holders().forEach(holder -> zones.add(holder.zone().value()));
     assertThat(zones).containsExactly("z0", "z1");
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/HolderTrackTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/HolderTrackTest.java
@@ -5,35 +5,35 @@
 import org.junit.jupiter.api.Test;
 
 class HolderTrackTest {
-  private final HolderTrack track = new HolderTrack(1);
+  private final HolderTrack tracker = new HolderTrack(1);
 
-  private int fill() {
-    int sent = 0;
-    while (!track.full()) {
-      track.started();
-      sent++;
+  private int startUntilLimit() {
+    int started = 0;
+    while (!tracker.atInFlightLimit()) {
+      tracker.started();
+      started++;
     }
-    return sent;
+    return started;
   }
 
   @Test
-  void holderWithoutAnswersGetsFewStatementsAtTime() {
-    assertThat(fill()).isEqualTo(4);
+  void initialInFlightLimitIsSmall() {
+    assertThat(startUntilLimit()).isEqualTo(4);
   }
 
   @Test
-  void holderThatGivesNoAnswersGetsOneAtTimeInTheEnd() {
+  void inFlightLimitFallsToOneAfterFailures() {
     for (int i = 0; i < 10; i++) {
-      track.failed(i);
+      tracker.failed(i);
     }
-    assertThat(fill()).isEqualTo(1);
+    assertThat(startUntilLimit()).isEqualTo(1);
   }
 
   @Test
-  void holderThatAnswersGetsMoreWithTime() {
+  void inFlightLimitGrowsToMaximumWithReplies() {
     for (int i = 0; i < 10_000; i++) {
-      track.answered(i, 1_000_000, true);
+      tracker.answered(i, 1_000_000, true);
     }
-    assertThat(fill()).isEqualTo(64);
+    assertThat(startUntilLimit()).isEqualTo(64);
   }
 }
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/OpeningsAfterStartTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/SessionAdmissionAfterStartTest.java
@@ -9,46 +9,50 @@
 import org.alderyard.testkit.session.ModelGroup;
 import org.junit.jupiter.api.Test;
 
-/** When a host that has just started begins to open sessions. */
-class OpeningsAfterStartTest {
-  private static final Duration LONG = Duration.ofHours(1);
+/** Tests when a started host begins to open sessions. */
+class SessionAdmissionAfterStartTest {
+  private static final Duration LONG_DELAY = Duration.ofHours(1);
 
   private static ModelGroup group() {
     return new ModelGroup("g1", "s1", "s2", "s3");
   }
 
   @Test
-  void hostWithoutOtherDutiesServesWithItsFirstView() {
+  void hostWithoutServingDelayAdmitsSessionsWithItsFirstView() {
     try (SessionFixture host = new SessionFixture("z0", group())) {
-      CompletableFuture<Optional<Refusal>> opening = host.service.admission(SessionFixture.NEWEST);
-      assertThat(opening.isDone()).isTrue();
-      assertThat(opening.join()).isEqualTo(Optional.empty());
+      CompletableFuture<Optional<Refusal>> admission =
+          host.service.admission(SessionFixture.NEWEST);
+      assertThat(admission.isDone()).isTrue();
+      assertThat(admission.join()).isEqualTo(Optional.empty());
     }
   }
 
   @Test
-  void controlHostGivesTheOthersTheirViewsFirst() throws Exception {
-    // Power was lost everywhere. The leader of the control hosts had its view first, and served the
-    // callers that waited on it; on its one core the other hosts' requests for views stood behind
-    // their statements, and callers of nine hosts waited 0.4 s longer than they had to.
+  void hostWithServingDelayAdmitsSessionsAfterTheDelay() throws Exception {
+    // After a power loss on all hosts, the leader of the control hosts had the first view and
+    // served waiting callers immediately. On its single core, view requests of the other hosts
+    // queued behind these callers' statements, and the callers of nine hosts waited 0.4 s longer
+    // than necessary.
     try (SessionFixture host = new SessionFixture("z0", group(), Duration.ofMillis(200))) {
-      CompletableFuture<Optional<Refusal>> opening = host.service.admission(SessionFixture.NEWEST);
-      assertThat(opening.join()).isEqualTo(Optional.empty());
+      CompletableFuture<Optional<Refusal>> admission =
+          host.service.admission(SessionFixture.NEWEST);
+      assertThat(admission.join()).isEqualTo(Optional.empty());
       assertThat(host.service.admission(SessionFixture.NEWEST).isDone()).isTrue();
     }
   }
 
   @Test
-  void openingIsNotRefusedOnlyBecauseTheHostHasOtherDuties() {
-    try (SessionFixture host = new SessionFixture("z0", group(), LONG)) {
+  void sessionIsAdmittedAfterTimeoutDespiteServingDelay() {
+    try (SessionFixture host = new SessionFixture("z0", group(), LONG_DELAY)) {
       assertThat(host.service.admission(SessionFixture.NEWEST).join()).isEqualTo(Optional.empty());
     }
   }
 
   @Test
-  void hostCutOffFromControlAndPrimaryIsNotReady() {
-    // A cut put a host on the side without the control hosts and without the primary. It reported
-    // ready, since it had a configuration, and the balancer went on sending it callers.
+  void hostDisconnectedFromControlHostsAndPrimaryIsNotReady() {
+    // A network partition separates a host from the control hosts and from the primary. If the host
+    // reported ready because it has a configuration, the load balancer would keep sending callers
+    // to it.
     try (SessionFixture host = new SessionFixture("z0", group())) {
       assertThat(host.service.ready()).isTrue();
       host.group.server("s1").unreachable(true);
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/SessionFixture.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/SessionFixture.java
@@ -38,7 +38,10 @@
 import org.alderyard.proxy.view.ViewHolder;
 import org.alderyard.testkit.session.ModelGroup;
 
-/** Sessions on one host over a group in memory: orders, calendar and own read by their rules. */
+/**
+ * Sessions of one host with an in-memory group. The databases orders, calendar and digest have
+ * different read consistency rules.
+ */
 final class SessionFixture implements AutoCloseable {
   static final String NEWEST = "orders";
   static final String BOUNDED = "calendar";
@@ -68,13 +71,13 @@
     this(zone, new ModelGroup("g1", "s1", "s2", "s3"));
   }
 
-  /** Another host over the same group. */
+  /** Creates a host that shares a group with other hosts. */
   SessionFixture(String zone, ModelGroup group) {
     this(zone, group, Duration.ZERO);
   }
 
-  /** A host that begins to serve this long after its first view. */
-  SessionFixture(String zone, ModelGroup group, Duration afterFirstView) {
+  /** Creates a host that begins to serve callers at this delay after its first view. */
+  SessionFixture(String zone, ModelGroup group, Duration servingDelay) {
     this.group = group;
     service =
         new SessionService(
@@ -87,18 +90,21 @@
             () -> Instant.ofEpochMilli(clock.nowMillis()),
             new PrometheusRegistry(),
             () -> viewConfirmed,
-            new SessionLimits(100, afterFirstView, 1));
+            new SessionLimits(100, servingDelay, 1));
     publish("s1", group.states());
   }
 
-  /** Makes this host one of several before servers that accept so many connections. */
+  /**
+   * Publishes a view in which this host is one of several, and servers accept this number of
+   * connections.
+   */
   void join(List<HostState> all, int connections) {
     hosts = all;
     connectionsPerServer = connections;
     publish("s1", group.states());
   }
 
-  /** Makes a view with this primary, as of the next term. */
+  /** Publishes a view in the next term with this primary. */
   void publish(String primary, List<ServerState> servers) {
     version++;
     View.Editor editor = View.EMPTY.edit();
@@ -140,7 +146,7 @@
     return service.parts();
   }
 
-  /** Lets time pass for all sessions. */
+  /** Advances the clock of all sessions. */
   void advance(long millis) {
     advancedMillis.addAndGet(millis);
   }
@@ -149,7 +155,7 @@
     return new Caller(service.open(database));
   }
 
-  /** A caller that waits for each answer. */
+  /** A caller that waits for each reply. */
   final class Caller {
     final CallerSession session;
 
@@ -157,49 +163,49 @@
       this.session = session;
     }
 
-    SessionReply ask(SessionStatement statement) {
+    SessionReply run(SessionStatement statement) {
       statements++;
       try {
         return session.handle("q" + statements, statement).get(5, TimeUnit.SECONDS);
       } catch (Exception failure) {
-        throw new AssertionError("no answer to " + statement, failure);
+        throw new AssertionError("no reply to " + statement, failure);
       }
     }
 
     SessionReply read(String item) {
-      return ask(new Read(item));
+      return run(new Read(item));
     }
 
     SessionReply write(String item, String data) {
-      return ask(new Write(item, data));
+      return run(new Write(item, data));
     }
 
     SessionReply begin() {
-      return ask(new Begin(false));
+      return run(new Begin(false));
     }
 
     SessionReply beginRead() {
-      return ask(new Begin(true));
+      return run(new Begin(true));
     }
 
     SessionReply commit() {
-      return ask(new Commit());
+      return run(new Commit());
     }
 
     SessionReply rollback() {
-      return ask(new Rollback());
+      return run(new Rollback());
     }
 
     SessionReply set(String name, String value) {
-      return ask(new SetValue(name, value));
+      return run(new SetValue(name, value));
     }
 
     SessionReply prepare(String name, StatementKind kind, String shape) {
-      return ask(new Prepare(name, kind, shape));
+      return run(new Prepare(name, kind, shape));
     }
 
     SessionReply execute(String name, String item) {
-      return ask(new Execute(name, item, Optional.empty()));
+      return run(new Execute(name, item, Optional.empty()));
     }
   }
 
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/UnknownDatabaseTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/UnknownDatabaseTest.java
@@ -7,8 +7,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against blame for a name that only this host does not know: a database was added while the
- * host was cut off from the control hosts, and its callers were told that there is none.
+ * Tests the refusal of a database that is not in a host's view. A host that was disconnected from
+ * the control hosts while a database was added must not report to callers that the database does
+ * not exist.
  */
 class UnknownDatabaseTest {
   private final SessionFixture host = new SessionFixture();
@@ -18,27 +19,27 @@
     host.close();
   }
 
-  private RefusalCode opening() {
+  private RefusalCode refusalCode() {
     return host.service.refusal("added-since").orElseThrow().code();
   }
 
   @Test
-  void hostThatLostTouchSendsTheCallerToAnother() {
+  void hostWithUnconfirmedViewRefusesUnknownDatabaseAsBusy() {
     host.viewConfirmed = false;
 
-    assertThat(opening()).isEqualTo(RefusalCode.BUSY);
+    assertThat(refusalCode()).isEqualTo(RefusalCode.BUSY);
     assertThat(host.caller("added-since").read("a").refusedWith(RefusalCode.BUSY)).isTrue();
     assertThat(host.caller("added-since").begin().refusedWith(RefusalCode.BUSY)).isTrue();
   }
 
   @Test
-  void hostWhoseViewIsConfirmedSaysThatThereIsNone() {
-    assertThat(opening()).isEqualTo(RefusalCode.UNKNOWN_DATABASE);
+  void hostWithConfirmedViewRefusesUnknownDatabase() {
+    assertThat(refusalCode()).isEqualTo(RefusalCode.UNKNOWN_DATABASE);
     assertThat(host.caller("nowhere").read("a").refusedWith(RefusalCode.UNKNOWN_DATABASE)).isTrue();
   }
 
   @Test
-  void databasesThatAreKnownAreServedWithoutConfirmation() {
+  void knownDatabaseIsServedWithoutConfirmedView() {
     host.viewConfirmed = false;
 
     assertThat(host.service.refusal(SessionFixture.BOUNDED)).isEmpty();
