--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/freshness/Eligibility.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/freshness/Eligibility.java
@@ -4,41 +4,44 @@
 import java.util.OptionalLong;
 
 /**
- * Whether one server may answer one read, and why.
+ * The result of checking one server's data against the freshness that one read requires.
  *
- * @param verdict the verdict
- * @param arrivalNanos how long until the server is expected to be fresh enough, where estimated
+ * @param verdict whether the server may answer the read, and the reason if not
+ * @param catchUpNanos the estimated time until the server is fresh enough; empty if not estimated
  */
-public record Eligibility(Verdict verdict, OptionalLong arrivalNanos) {
+public record Eligibility(Verdict verdict, OptionalLong catchUpNanos) {
 
-  /** Checks. */
+  /** Rejects null components. */
   public Eligibility {
     Objects.requireNonNull(verdict);
-    Objects.requireNonNull(arrivalNanos);
+    Objects.requireNonNull(catchUpNanos);
   }
 
   static Eligibility of(Verdict verdict) {
     return new Eligibility(verdict, OptionalLong.empty());
   }
 
-  static Eligibility behind(OptionalLong arrivalNanos) {
-    return new Eligibility(Verdict.BEHIND, arrivalNanos);
+  static Eligibility behind(OptionalLong catchUpNanos) {
+    return new Eligibility(Verdict.BEHIND, catchUpNanos);
   }
 
-  /** Returns whether the server may answer at once. */
+  /** Returns whether the server may answer the read without waiting. */
   public boolean eligible() {
     return verdict == Verdict.ELIGIBLE;
   }
 
-  /** The verdicts. */
+  /** The possible results of the check. */
   public enum Verdict {
-    /** Fresh enough now. */
+    /** The server is fresh enough. */
     ELIGIBLE,
-    /** Known not to be fresh enough yet. */
+    /** The server is known to be too old for the read. */
     BEHIND,
-    /** Never measured, or not since its restart: not eligible. */
+    /** The server has not been measured since it started, so it is not eligible. */
     UNKNOWN,
-    /** Holds entries that the group lost, or a term that the view does not know: not eligible. */
+    /**
+     * The server holds entries that the group has lost, or reports a newer term than the view, so
+     * it is not eligible.
+     */
     DIVERGED
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/freshness/EligibilityRule.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/freshness/EligibilityRule.java
@@ -6,60 +6,63 @@
 import org.alderyard.common.view.GroupState;
 import org.alderyard.common.view.ServerState;
 
-/** Decides whether a replica is fresh enough for a read. Pure. */
+/** Decides whether a replica is fresh enough for a read. The functions have no side effects. */
 public final class EligibilityRule {
 
   private EligibilityRule() {}
 
   /**
-   * Decides for one replica.
+   * Checks one replica against one read.
    *
-   * @param demand what the read demands
-   * @param group the group in the view that the read is routed by
-   * @param server the replica in the same view
-   * @param known what is known of the replica
-   * @param reachedNanos by when the primary had written the demanded position, if measured
-   * @param nowNanos the clock
+   * @param demand the freshness that the read requires
+   * @param group the group, in the view that the read is routed by
+   * @param server the replica, in the same view
+   * @param known the measured freshness of the replica; empty before the first measurement
+   * @param writtenByNanos a time by which the primary had written the required position; empty if
+   *     not measured
+   * @param nowNanos the current time of the monotonic clock
    */
   public static Eligibility decide(
       ReadDemand demand,
       GroupState group,
       ServerState server,
       Optional<ServerFreshness> known,
-      OptionalLong reachedNanos,
+      OptionalLong writtenByNanos,
       long nowNanos) {
-    // Positions of an earlier start say nothing: the server may have come back from a backup.
-    Optional<ServerFreshness> current =
+    // Positions from an earlier incarnation are ignored: the server may have been restored from a
+    // backup.
+    Optional<ServerFreshness> measured =
         known.filter(fresh -> fresh.incarnation() == server.incarnation());
-    if (current.isEmpty()) {
+    if (measured.isEmpty()) {
       return Eligibility.of(Eligibility.Verdict.UNKNOWN);
     }
-    ServerFreshness fresh = current.get();
+    ServerFreshness fresh = measured.get();
     if (diverged(group, fresh.applied())) {
       return Eligibility.of(Eligibility.Verdict.DIVERGED);
     }
     return switch (demand.mode()) {
       case ANY -> Eligibility.of(Eligibility.Verdict.ELIGIBLE);
       case PRIMARY -> Eligibility.behind(OptionalLong.empty());
-      case BOUNDED -> bounded(demand, fresh, reachedNanos, nowNanos);
-      case SESSION -> session(demand, fresh, reachedNanos, nowNanos);
+      case BOUNDED -> bounded(demand, fresh, writtenByNanos, nowNanos);
+      case SESSION -> session(demand, fresh, writtenByNanos, nowNanos);
     };
   }
 
   /**
-   * Whether the server holds entries that no primary of a later term holds.
+   * Returns whether the server holds entries that no primary of a later term holds.
    *
-   * <p>A replaced primary that comes back shows a high index until it has dropped its lost tail.
+   * <p>A replaced primary that rejoins the group reports a high index until it has truncated the
+   * lost tail of its log.
    */
   private static boolean diverged(GroupState group, Position applied) {
     return applied.term() > group.term() || group.lost(applied);
   }
 
   private static Eligibility bounded(
-      ReadDemand demand, ServerFreshness fresh, OptionalLong reachedNanos, long nowNanos) {
-    Eligibility ofSession = session(demand, fresh, reachedNanos, nowNanos);
-    if (!ofSession.eligible()) {
-      return ofSession;
+      ReadDemand demand, ServerFreshness fresh, OptionalLong writtenByNanos, long nowNanos) {
+    Eligibility sessionEligibility = session(demand, fresh, writtenByNanos, nowNanos);
+    if (!sessionEligibility.eligible()) {
+      return sessionEligibility;
     }
     OptionalLong age = fresh.ageBoundNanos(nowNanos);
     if (age.isEmpty()) {
@@ -71,39 +74,40 @@
   }
 
   private static Eligibility session(
-      ReadDemand demand, ServerFreshness fresh, OptionalLong reachedNanos, long nowNanos) {
+      ReadDemand demand, ServerFreshness fresh, OptionalLong writtenByNanos, long nowNanos) {
     if (demand.requirement().primaryOnly()) {
       return Eligibility.behind(OptionalLong.empty());
     }
-    Position needed = demand.requirement().position();
-    if (covers(fresh.applied(), needed)) {
+    Position required = demand.requirement().position();
+    if (covers(fresh.applied(), required)) {
       return Eligibility.of(Eligibility.Verdict.ELIGIBLE);
     }
     if (fresh.lagNanos().isEmpty()) {
       return Eligibility.behind(OptionalLong.empty());
     }
-    long elapsed = Math.max(0, nowNanos - reachedNanos.orElse(nowNanos));
+    long elapsed = Math.max(0, nowNanos - writtenByNanos.orElse(nowNanos));
     return Eligibility.behind(
         OptionalLong.of(remainingNanos(fresh.lagNanos().getAsLong(), elapsed)));
   }
 
   /**
-   * How long until an entry arrives that was written a while ago.
+   * Estimates the time until the replica applies an entry that was written some time ago.
    *
-   * <p>An entry that is overdue is expected to take as long again as it is overdue: a replica that
-   * stopped would look about to catch up for ever otherwise, and each read would wait in vain.
+   * <p>An overdue entry is expected after another delay of the length by which it is overdue.
+   * Otherwise a replica that has stopped applying would always seem about to catch up, and every
+   * read would wait for it until the timeout.
    */
-  private static long remainingNanos(long usualNanos, long elapsedNanos) {
-    return Math.abs(usualNanos - elapsedNanos);
+  private static long remainingNanos(long lagNanos, long elapsedNanos) {
+    return Math.abs(lagNanos - elapsedNanos);
   }
 
   /**
-   * Returns whether a server that has applied one position holds the other one as well.
+   * Returns whether a server that has applied one position also holds the required position.
    *
-   * <p>The term alone is not enough for a server that reports its term before its log has caught
-   * up, so the index counts as well.
+   * <p>Both term and index are compared, because a server may report a new term before its log has
+   * caught up with that term.
    */
-  public static boolean covers(Position applied, Position needed) {
-    return applied.term() >= needed.term() && applied.index() >= needed.index();
+  public static boolean covers(Position applied, Position required) {
+    return applied.term() >= required.term() && applied.index() >= required.index();
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/freshness/Freshness.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/freshness/Freshness.java
@@ -4,17 +4,18 @@
 import java.util.OptionalLong;
 
 /**
- * What a caller asks of the data of a read.
+ * The freshness that a caller requests for a read.
  *
  * @param mode how old the data may be
- * @param maxStalenessMillis the oldest age for {@link FreshnessMode#BOUNDED}; empty for the pool's
+ * @param maxStalenessMillis the maximum age for {@link FreshnessMode#BOUNDED}; empty to use the
+ *     maximum of the pool
  */
 public record Freshness(FreshnessMode mode, OptionalLong maxStalenessMillis) {
-  /** What holds when the caller asks for nothing else. */
+  /** The default for a request that states no freshness. */
   public static final Freshness SESSION =
       new Freshness(FreshnessMode.SESSION, OptionalLong.empty());
 
-  /** Checks. */
+  /** Rejects null components. */
   public Freshness {
     Objects.requireNonNull(mode);
     Objects.requireNonNull(maxStalenessMillis);
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/freshness/FreshnessMode.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/freshness/FreshnessMode.java
@@ -2,12 +2,12 @@
 
 /** How old the data of a read may be. */
 public enum FreshnessMode {
-  /** The read shows all that the session has seen or written. */
+  /** The read reflects everything that the session has read or written before. */
   SESSION,
-  /** As {@code SESSION} for the caller's own changes, and no older than a stated age. */
+  /** The read reflects the session's own changes, and its data is no older than a given age. */
   BOUNDED,
-  /** Any age. */
+  /** The data may have any age. */
   ANY,
-  /** The primary's data. */
+  /** The read runs on the primary. */
   PRIMARY
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/freshness/FreshnessTable.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/freshness/FreshnessTable.java
@@ -7,19 +7,19 @@
 import org.alderyard.common.view.GroupState;
 import org.alderyard.common.view.View;
 
-/** The freshness of all groups of the view. */
+/** The freshness of all groups of the current view. Thread-safe. */
 public final class FreshnessTable {
   private final Map<GroupId, GroupFreshness> groups = new ConcurrentHashMap<>();
 
-  /** Returns what is known of a group. */
+  /** Returns the freshness of a group, which is created empty if it is missing. */
   public GroupFreshness group(GroupId group) {
     return groups.computeIfAbsent(group, id -> new GroupFreshness());
   }
 
-  /** Follows a newer view. */
-  public void follow(View view) {
-    Set<GroupId> known = view.groups().keySet();
-    groups.keySet().retainAll(known);
+  /** Adopts a newer view: updates its groups and removes all others. */
+  public void updateView(View view) {
+    Set<GroupId> currentGroups = view.groups().keySet();
+    groups.keySet().retainAll(currentGroups);
     for (GroupState group : view.groups().values()) {
       group(group.id()).follow(group, view.serversOf(group.id()).size());
     }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/freshness/GroupFreshness.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/freshness/GroupFreshness.java
@@ -10,47 +10,49 @@
 import org.alderyard.common.view.GroupState;
 
 /**
- * What is known of the freshness of one group's servers, shared by the workers of a proxy.
+ * Tracks how fresh the data of each server of one group is.
  *
- * <p>A server that has applied position {@code p} holds all that was written up to the latest time
- * at which the primary was measured at or before {@code p}. Every time is taken before the question
- * was sent, so it is never too late; and since only stored times are compared with the clock, the
- * age of a measurement counts in full.
+ * <p>A server that has applied position {@code p} holds everything that was written up to the
+ * latest time at which the primary was measured at or before {@code p}. The time of a measurement
+ * is taken before its request is sent, so it is never too late. Ages are computed from these stored
+ * times, so an age includes the age of the measurement itself.
  *
- * <p>A measured primary is evidence only while it is the primary. A primary that is cut off from
- * its group together with this proxy would look idle and keep its replicas looking fresh, while the
- * other side writes under a new one. A promotion fences a majority of the servers first; so as long
- * as a majority has answered with the old term <em>after</em> a time, nothing was written under a
- * new term <em>before</em> it. Only times that are confirmed like this count.
+ * <p>A measurement of the primary is valid only while that server is the primary. A primary that is
+ * partitioned from its group together with this proxy appears idle, which would make its replicas
+ * appear fresh while the other side of the partition writes under a new primary. A promotion first
+ * fences a majority of the servers. Therefore, if a majority has answered with the old term
+ * <em>after</em> a time, nothing was written under a new term <em>before</em> that time. Only times
+ * that are confirmed in this way are used.
  *
- * <p>Lock: the object itself, a leaf; nothing is called while it is held.
+ * <p>Thread-safe. The object's own monitor is a leaf lock; no other lock is taken while it is held.
  */
 public final class GroupFreshness {
-  /** The share of a new measurement in the estimate of the lag, as a shift. */
+  /** Weight of a new measurement in the smoothed lag, as a right shift: 2 means one quarter. */
   private static final int LAG_SMOOTHING_SHIFT = 2;
 
   // All guarded by this.
-  private final PositionHistory history = new PositionHistory();
-  private final Map<ServerId, Measured> servers = new HashMap<>();
+  private final PositionHistory primaryHistory = new PositionHistory();
+  private final Map<ServerId, ServerEntry> servers = new HashMap<>();
   private long term = -1;
   private Optional<ServerId> primary = Optional.empty();
   private int serverCount;
 
   /**
-   * Follows the view: the term and the primary whose measurements count.
+   * Adopts the term and the primary of a new view. Only measurements of this primary in this term
+   * are recorded from then on.
    *
-   * @param group the group
-   * @param serverCount the servers that the registry knows of the group, in any status
+   * @param group the group in the new view
+   * @param serverCount the number of registered servers of the group, in any status
    */
   public synchronized void follow(GroupState group, int serverCount) {
     if (group.term() != term) {
-      OptionalLong confirmed = confirmedNanos();
-      // What the old primary said after the last confirmation may be of a time when it was
-      // replaced.
-      if (confirmed.isPresent()) {
-        history.clampTo(confirmed.getAsLong());
+      OptionalLong confirmedNanos = confirmedNanos();
+      // Measurements of the old primary after the last confirmed time may date from after its
+      // replacement.
+      if (confirmedNanos.isPresent()) {
+        primaryHistory.clampLatestTimes(confirmedNanos.getAsLong());
       } else {
-        history.clear();
+        primaryHistory.clear();
       }
     }
     this.term = group.term();
@@ -58,104 +60,117 @@
     this.serverCount = serverCount;
   }
 
-  /** Takes in a measurement; one that is older than what is known changes nothing. */
-  public synchronized void observe(Measurement seen) {
-    Measured measured = servers.get(seen.server());
-    if (measured == null || seen.incarnation() > measured.incarnation) {
-      measured = new Measured(seen.incarnation());
-      servers.put(seen.server(), measured);
+  /** Records a measurement. Values older than the known ones are ignored. */
+  public synchronized void observe(Measurement measurement) {
+    ServerEntry entry = servers.get(measurement.server());
+    if (entry == null || measurement.incarnation() > entry.incarnation) {
+      entry = new ServerEntry(measurement.incarnation());
+      servers.put(measurement.server(), entry);
     }
-    if (seen.incarnation() < measured.incarnation) {
+    if (measurement.incarnation() < entry.incarnation) {
       return;
     }
-    if (seen.term() > measured.term) {
-      measured.term = seen.term();
-      measured.termNanos = seen.sentNanos();
-    } else if (seen.term() == measured.term) {
-      measured.termNanos = Math.max(measured.termNanos, seen.sentNanos());
+    if (measurement.term() > entry.term) {
+      entry.term = measurement.term();
+      entry.termNanos = measurement.sentNanos();
+    } else if (measurement.term() == entry.term) {
+      entry.termNanos = Math.max(entry.termNanos, measurement.sentNanos());
     }
-    boolean advanced = seen.applied().compareTo(measured.applied) > 0;
+    boolean advanced = measurement.applied().compareTo(entry.applied) > 0;
     if (advanced) {
-      measured.applied = seen.applied();
+      entry.applied = measurement.applied();
     }
-    boolean ofPrimary =
-        seen.primary() && seen.term() == term && primary.equals(Optional.of(seen.server()));
-    if (ofPrimary) {
-      history.record(seen.held(), seen.sentNanos(), seen.receivedNanos());
+    boolean fromCurrentPrimary =
+        measurement.primary()
+            && measurement.term() == term
+            && primary.equals(Optional.of(measurement.server()));
+    if (fromCurrentPrimary) {
+      primaryHistory.record(
+          measurement.held(), measurement.sentNanos(), measurement.receivedNanos());
     }
-    measured.receivedNanos = Math.max(measured.receivedNanos, seen.receivedNanos());
+    entry.receivedNanos = Math.max(entry.receivedNanos, measurement.receivedNanos());
     if (advanced) {
-      updateLag(measured, seen);
+      updateLag(entry, measurement);
     }
   }
 
-  /** Takes in the position that an answer of a server showed: a server never goes back. */
-  public synchronized void answered(ServerId server, long incarnation, Position applied) {
-    Measured measured = servers.get(server);
+  /**
+   * Records the position that a server returned with an answer. An incarnation of a server never
+   * moves back, so a lower position is ignored.
+   */
+  public synchronized void recordAnswer(ServerId server, long incarnation, Position applied) {
+    ServerEntry entry = servers.get(server);
     boolean newer =
-        measured != null
-            && measured.incarnation == incarnation
-            && applied.compareTo(measured.applied) > 0;
+        entry != null
+            && entry.incarnation == incarnation
+            && applied.compareTo(entry.applied) > 0;
     if (newer) {
-      measured.applied = applied;
+      entry.applied = applied;
     }
   }
 
-  /** Forgets a server that left the registry. */
-  public synchronized void forget(ServerId server) {
+  /** Removes a server that is no longer registered. */
+  public synchronized void remove(ServerId server) {
     servers.remove(server);
   }
 
-  /** Returns what is known of a server; empty before the first measurement. */
+  /** Returns the freshness of a server, or empty before the first measurement. */
   public synchronized Optional<ServerFreshness> of(ServerId server) {
-    Measured measured = servers.get(server);
-    if (measured == null) {
+    ServerEntry entry = servers.get(server);
+    if (entry == null) {
       return Optional.empty();
     }
     return Optional.of(
         new ServerFreshness(
             server,
-            measured.incarnation,
-            measured.applied,
-            freshAsOf(measured.applied),
-            lagOf(measured)));
+            entry.incarnation,
+            entry.applied,
+            freshAsOf(entry.applied),
+            lagOf(entry)));
   }
 
   /**
-   * The estimate of the lag, or the age of the last measurement while nothing has advanced.
+   * Returns the smoothed lag, or an estimate from the last measurement while the server has not
+   * advanced.
    *
-   * <p>On a quiet group nothing may advance for long after this proxy has started; without any
-   * estimate the first read after a write would go to the primary.
+   * <p>On an idle group, positions may not advance for a long time after this proxy has started.
+   * Without an estimate, the first read after a write would go to the primary.
    */
-  private OptionalLong lagOf(Measured measured) {
-    OptionalLong held = history.heldUntil(measured.applied);
-    if (measured.lagNanos.isPresent() || held.isEmpty()) {
-      return measured.lagNanos;
+  private OptionalLong lagOf(ServerEntry entry) {
+    OptionalLong coveredNanos = primaryHistory.latestAtOrBefore(entry.applied);
+    if (entry.lagNanos.isPresent() || coveredNanos.isEmpty()) {
+      return entry.lagNanos;
     }
-    return OptionalLong.of(Math.max(0, measured.receivedNanos - held.getAsLong()));
+    return OptionalLong.of(Math.max(0, entry.receivedNanos - coveredNanos.getAsLong()));
   }
 
-  /** Returns the time as of which a server that has applied the position holds everything. */
+  /**
+   * Returns a time up to which a server that has applied the position holds all writes; empty if
+   * no such time is confirmed.
+   */
   public synchronized OptionalLong freshAsOf(Position applied) {
-    OptionalLong held = history.heldUntil(applied);
-    OptionalLong confirmed = confirmedNanos();
-    if (held.isEmpty() || confirmed.isEmpty()) {
+    OptionalLong coveredNanos = primaryHistory.latestAtOrBefore(applied);
+    OptionalLong confirmedNanos = confirmedNanos();
+    if (coveredNanos.isEmpty() || confirmedNanos.isEmpty()) {
       return OptionalLong.empty();
     }
-    return OptionalLong.of(Math.min(held.getAsLong(), confirmed.getAsLong()));
+    return OptionalLong.of(Math.min(coveredNanos.getAsLong(), confirmedNanos.getAsLong()));
   }
 
-  /** Returns by when the primary had written the position, if that was measured. */
+  /** Returns a time by which the primary had written the position; empty if not measured. */
   public synchronized OptionalLong reachedBy(Position position) {
-    return history.reachedBy(position);
+    return primaryHistory.earliestAtOrAfter(position);
   }
 
-  /** The latest time after which a majority has still answered with the term of the view. */
+  /**
+   * Returns the latest time after which a majority of the servers has answered with the term of the
+   * view.
+   */
   private OptionalLong confirmedNanos() {
     long[] times =
         servers.values().stream()
-            .filter(measured -> measured.term == term)
-            .mapToLong(measured -> measured.termNanos)
+            .filter(entry -> entry.term == term)
+            .mapToLong(entry -> entry.termNanos)
             .toArray();
     int majority = serverCount / 2 + 1;
     if (serverCount == 0 || times.length < majority) {
@@ -165,19 +180,19 @@
     return OptionalLong.of(times[times.length - majority]);
   }
 
-  private void updateLag(Measured measured, Measurement seen) {
-    OptionalLong held = history.heldUntil(measured.applied);
-    if (held.isEmpty()) {
+  private void updateLag(ServerEntry entry, Measurement measurement) {
+    OptionalLong coveredNanos = primaryHistory.latestAtOrBefore(entry.applied);
+    if (coveredNanos.isEmpty()) {
       return;
     }
-    long now = Math.max(0, seen.receivedNanos() - held.getAsLong());
-    long before = measured.lagNanos.orElse(now);
-    long smoothed = before + ((now - before) >> LAG_SMOOTHING_SHIFT);
-    // A replica that falls behind must not look fast until the average has followed.
-    measured.lagNanos = OptionalLong.of(Math.max(now, smoothed));
+    long latest = Math.max(0, measurement.receivedNanos() - coveredNanos.getAsLong());
+    long previous = entry.lagNanos.orElse(latest);
+    long smoothed = previous + ((latest - previous) >> LAG_SMOOTHING_SHIFT);
+    // A rise applies immediately, so that the average doesn't hide a replica that falls behind.
+    entry.lagNanos = OptionalLong.of(Math.max(latest, smoothed));
   }
 
-  private static final class Measured {
+  private static final class ServerEntry {
     final long incarnation;
     long term = -1;
     long termNanos;
@@ -185,7 +200,7 @@
     Position applied = Position.NONE;
     OptionalLong lagNanos = OptionalLong.empty();
 
-    Measured(long incarnation) {
+    ServerEntry(long incarnation) {
       this.incarnation = incarnation;
     }
   }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/freshness/Measurement.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/freshness/Measurement.java
@@ -5,16 +5,16 @@
 import org.alderyard.common.id.ServerId;
 
 /**
- * One measurement of a server: what it answered, between two readings of the proxy's clock.
+ * The state that a server reported, with the times of the request and the answer.
  *
  * @param server the server
- * @param incarnation the start of the server that answered
- * @param term the highest term that the server knows
- * @param primary whether it said that it is the primary of that term
- * @param held the last entry that its log holds
- * @param applied the last entry that its reads show
- * @param sentNanos the clock before the question was sent
- * @param receivedNanos the clock after the answer was read
+ * @param incarnation the incarnation of the server that answered
+ * @param term the highest term that the server has seen
+ * @param primary whether the server reported to be the primary of that term
+ * @param held the last entry in the server's log
+ * @param applied the last entry that reads on the server reflect
+ * @param sentNanos the proxy's monotonic clock before the request was sent
+ * @param receivedNanos the proxy's monotonic clock after the answer was read
  */
 public record Measurement(
     ServerId server,
@@ -26,7 +26,7 @@
     long sentNanos,
     long receivedNanos) {
 
-  /** Checks. */
+  /** Rejects null components. */
   public Measurement {
     Objects.requireNonNull(server);
     Objects.requireNonNull(held);
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/freshness/PositionHistory.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/freshness/PositionHistory.java
@@ -6,48 +6,54 @@
 import org.alderyard.common.id.Position;
 
 /**
- * When the primary of one group was at which position, in bounded memory.
+ * Bounded history of the positions of one group's primary, with the times of the measurements.
  *
- * <p>Each sample says: at {@code heldNanos} the primary had written nothing past the position. When
- * the history is full, every other sample of its older half goes; a lookup then finds an older
- * sample, so that an age only grows. Not safe for several threads.
+ * <p>At the {@code latestNanos} of a sample, the primary had written nothing past the position of
+ * that sample. When the history is full, every other sample of its older half is dropped. A lookup
+ * then finds an older sample, so a computed age can only become larger. Not thread-safe.
  */
 final class PositionHistory {
-  /** The samples that are kept: about 24 KB a group. */
+  /** The maximum number of samples, which take about 24 KB per group. */
   static final int CAPACITY = 256;
 
   private final TreeMap<Position, Sample> samples = new TreeMap<>();
 
-  /** Adds a measurement of the primary. */
+  /** Records a position of the primary that was measured between the two given times. */
   void record(Position position, long sentNanos, long receivedNanos) {
-    Sample held = samples.get(position);
-    if (held != null) {
-      held.heldNanos = Math.max(held.heldNanos, sentNanos);
+    Sample existing = samples.get(position);
+    if (existing != null) {
+      existing.latestNanos = Math.max(existing.latestNanos, sentNanos);
       return;
     }
     samples.put(position, new Sample(sentNanos, receivedNanos));
     if (samples.size() > CAPACITY) {
-      thin();
+      thinOlderHalf();
     }
   }
 
-  /** Returns the latest time at which the primary had written nothing past the position. */
-  OptionalLong heldUntil(Position applied) {
-    Map.Entry<Position, Sample> floor = samples.floorEntry(applied);
-    return floor == null ? OptionalLong.empty() : OptionalLong.of(floor.getValue().heldNanos);
+  /**
+   * Returns the latest known time at which the primary had written nothing past the position; empty
+   * if there is none.
+   */
+  OptionalLong latestAtOrBefore(Position position) {
+    Map.Entry<Position, Sample> floor = samples.floorEntry(position);
+    return floor == null ? OptionalLong.empty() : OptionalLong.of(floor.getValue().latestNanos);
   }
 
-  /** Returns the earliest time by which the primary is known to have written the position. */
-  OptionalLong reachedBy(Position position) {
+  /**
+   * Returns the earliest known time by which the primary had written the position; empty if there
+   * is none.
+   */
+  OptionalLong earliestAtOrAfter(Position position) {
     Map.Entry<Position, Sample> ceiling = samples.ceilingEntry(position);
     return ceiling == null
         ? OptionalLong.empty()
-        : OptionalLong.of(ceiling.getValue().reachedNanos);
+        : OptionalLong.of(ceiling.getValue().writtenByNanos);
   }
 
-  /** Forgets what was measured after the given time; older samples stay true. */
-  void clampTo(long nanos) {
-    samples.values().forEach(sample -> sample.heldNanos = Math.min(sample.heldNanos, nanos));
+  /** Lowers all later {@code latestNanos} to the given time; earlier ones stay valid. */
+  void clampLatestTimes(long nanos) {
+    samples.values().forEach(sample -> sample.latestNanos = Math.min(sample.latestNanos, nanos));
   }
 
   void clear() {
@@ -58,19 +64,19 @@
     return samples.size();
   }
 
-  private void thin() {
-    int[] place = {0};
+  private void thinOlderHalf() {
+    int[] sampleIndex = {0};
     int olderHalf = samples.size() / 2;
-    samples.keySet().removeIf(position -> place[0]++ < olderHalf && place[0] % 2 == 0);
+    samples.keySet().removeIf(position -> sampleIndex[0]++ < olderHalf && sampleIndex[0] % 2 == 0);
   }
 
   private static final class Sample {
-    long heldNanos;
-    final long reachedNanos;
+    long latestNanos;
+    final long writtenByNanos;
 
-    Sample(long heldNanos, long reachedNanos) {
-      this.heldNanos = heldNanos;
-      this.reachedNanos = reachedNanos;
+    Sample(long latestNanos, long writtenByNanos) {
+      this.latestNanos = latestNanos;
+      this.writtenByNanos = writtenByNanos;
     }
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/freshness/ServerFreshness.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/freshness/ServerFreshness.java
@@ -6,13 +6,15 @@
 import org.alderyard.common.id.ServerId;
 
 /**
- * What is known of one server's data at one moment.
+ * Snapshot of the measured freshness of one server.
  *
  * @param server the server
- * @param incarnation the start of the server that was measured
- * @param applied the last entry that it is known to have applied
- * @param freshAsOfNanos a time as of which the server is proved to hold all that was written
- * @param lagNanos how long an entry takes from the primary to this server, estimated
+ * @param incarnation the incarnation of the server that was measured
+ * @param applied the last entry that the server is known to have applied
+ * @param freshAsOfNanos a time up to which the server is proved to hold all writes; empty if none
+ *     is proved
+ * @param lagNanos the estimated replication delay from the primary to this server; empty without an
+ *     estimate
  */
 public record ServerFreshness(
     ServerId server,
@@ -21,7 +23,7 @@
     OptionalLong freshAsOfNanos,
     OptionalLong lagNanos) {
 
-  /** Checks. */
+  /** Rejects null components. */
   public ServerFreshness {
     Objects.requireNonNull(server);
     Objects.requireNonNull(applied);
@@ -29,7 +31,7 @@
     Objects.requireNonNull(lagNanos);
   }
 
-  /** Returns an age that the server's data does not exceed, if one is proved. */
+  /** Returns an upper bound for the age of the server's data; empty if none is proved. */
   public OptionalLong ageBoundNanos(long nowNanos) {
     return freshAsOfNanos.isEmpty()
         ? OptionalLong.empty()
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/freshness/package-info.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/freshness/package-info.java
@@ -1,9 +1,9 @@
 /**
- * How fresh each replica is, and whether that is fresh enough for a read.
+ * Tracking of replica freshness and the check whether a replica is fresh enough for a read.
  *
- * <p>Measurements of the servers come in as {@link org.alderyard.proxy.freshness.Measurement};
- * {@link org.alderyard.proxy.freshness.GroupFreshness} turns them into an age that is never too
- * small, and {@link org.alderyard.proxy.freshness.EligibilityRule} decides. All times are of the
- * proxy's own monotonic clock, in nanoseconds; no clock of a server is read.
+ * <p>{@link org.alderyard.proxy.freshness.GroupFreshness} computes an upper bound for the age of
+ * each server's data from {@link org.alderyard.proxy.freshness.Measurement}s, and {@link
+ * org.alderyard.proxy.freshness.EligibilityRule} checks servers against reads. All times are
+ * nanoseconds of the proxy's own monotonic clock; the clocks of the servers are not used.
  */
 package org.alderyard.proxy.freshness;
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadPath.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadPath.java
@@ -18,11 +18,11 @@
 import org.alderyard.common.view.GroupState;
 import org.alderyard.common.view.ServerState;
 import org.alderyard.common.view.View;
-import org.alderyard.proxy.freshness.ArrivalWaits;
 import org.alderyard.proxy.freshness.EligibilityRule;
 import org.alderyard.proxy.freshness.FreshnessMode;
 import org.alderyard.proxy.freshness.FreshnessTable;
 import org.alderyard.proxy.freshness.GroupFreshness;
+import org.alderyard.proxy.freshness.PositionWaits;
 import org.alderyard.proxy.freshness.ReadDemand;
 import org.alderyard.proxy.limit.Flow;
 import org.alderyard.proxy.limit.Gates;
@@ -48,7 +48,7 @@
 
   private final MonotonicClock clock;
   private final FreshnessTable freshness;
-  private final ArrivalWaits arrivals;
+  private final PositionWaits positionWaits;
   private final ServerLoads loads;
   private final Gates gates;
   private final ServerRunner runner;
@@ -62,7 +62,7 @@
   public ReadPath(
       MonotonicClock clock,
       FreshnessTable freshness,
-      ArrivalWaits arrivals,
+      PositionWaits positionWaits,
       ServerLoads loads,
       Gates gates,
       ServerRunner runner,
@@ -71,7 +71,7 @@
       int routingLogSample) {
     this.clock = Objects.requireNonNull(clock);
     this.freshness = Objects.requireNonNull(freshness);
-    this.arrivals = Objects.requireNonNull(arrivals);
+    this.positionWaits = Objects.requireNonNull(positionWaits);
     this.loads = Objects.requireNonNull(loads);
     this.gates = Objects.requireNonNull(gates);
     this.runner = Objects.requireNonNull(runner);
@@ -145,9 +145,11 @@
       Read read, ServerState server, RoutingDecision decision, GroupFreshness known) {
     Position needed = decision.waitFor().orElseThrow();
     CompletableFuture<Boolean> arrived =
-        arrivals.await(server.id(), needed, Duration.ofNanos(decision.waitNanos()));
+        positionWaits.await(server.id(), needed, Duration.ofNanos(decision.waitNanos()));
     // It may have arrived between the decision and the wait.
-    known.of(server.id()).ifPresent(fresh -> arrivals.applied(server.id(), fresh.applied()));
+    known
+        .of(server.id())
+        .ifPresent(fresh -> positionWaits.recordApplied(server.id(), fresh.applied()));
     return arrived.thenCompose(
         inTime -> inTime ? send(read, server, true) : attempt(read, ReadDemand.PRIMARY));
   }
@@ -181,7 +183,7 @@
   private CompletableFuture<ReadAnswer> check(
       Read read, ServerState server, boolean replica, BackendAnswer answer) {
     GroupFreshness known = freshness.group(read.group.id());
-    known.answered(server.id(), server.incarnation(), answer.position());
+    known.recordAnswer(server.id(), server.incarnation(), answer.position());
     OptionalLong age = replica ? ageMillis(known, answer.position()) : OptionalLong.empty();
     if (goodEnough(read, replica, answer.position(), age)) {
       age.ifPresent(metrics::answeredWithAge);
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadStack.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadStack.java
@@ -13,9 +13,9 @@
 import org.alderyard.common.view.GroupState;
 import org.alderyard.common.view.ServerState;
 import org.alderyard.common.view.View;
-import org.alderyard.proxy.freshness.ArrivalWaits;
 import org.alderyard.proxy.freshness.FreshnessTable;
 import org.alderyard.proxy.freshness.Measurement;
+import org.alderyard.proxy.freshness.PositionWaits;
 import org.alderyard.proxy.limit.Gates;
 import org.alderyard.proxy.limit.LeasedSlots;
 import org.alderyard.proxy.monitor.GroupMonitor;
@@ -32,7 +32,7 @@
   private static final Duration SWEEP_INTERVAL = Duration.ofMillis(10);
 
   private final FreshnessTable freshness = new FreshnessTable();
-  private final ArrivalWaits arrivals;
+  private final PositionWaits positionWaits;
   private final ServerLoads loads;
   private final Gates gates;
   private final ServerRunner runner;
@@ -55,7 +55,7 @@
       RandomGenerator random,
       PrometheusRegistry registry) {
     ReadMetrics metrics = new ReadMetrics(registry);
-    arrivals = new ArrivalWaits(workers);
+    positionWaits = new PositionWaits(workers);
     loads = new ServerLoads(clock);
     gates =
         new Gates(
@@ -74,7 +74,7 @@
         new ReadPath(
             clock,
             freshness,
-            arrivals,
+            positionWaits,
             loads,
             gates,
             runner,
@@ -106,7 +106,7 @@
   }
 
   private void follow(View view) {
-    freshness.follow(view);
+    freshness.updateView(view);
     loads.retain(view.servers().keySet());
   }
 
@@ -126,7 +126,7 @@
                       report.applied(),
                       seen.askedNanos(),
                       seen.receivedNanos()));
-          arrivals.applied(report.server(), report.applied());
+          positionWaits.recordApplied(report.server(), report.applied());
         });
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/routing/ReadRouter.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/routing/ReadRouter.java
@@ -88,7 +88,7 @@
       }
       if (eligibility.verdict() == Eligibility.Verdict.BEHIND) {
         sorted.behind.add(candidate);
-        sorted.arrivals.add(eligibility.arrivalNanos());
+        sorted.arrivals.add(eligibility.catchUpNanos());
       }
     }
     return sorted;
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/freshness/FreshnessTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/freshness/FreshnessTest.java
@@ -23,7 +23,7 @@
 import org.alderyard.proxy.session.Requirement;
 import org.junit.jupiter.api.Test;
 
-/** Ages of replicas that are never too small, and who may answer which read. */
+/** Tests the age bounds of replicas and the check of replicas against reads. */
 class FreshnessTest {
   private static final GroupId GROUP = new GroupId("g1");
   private static final ServerId S1 = new ServerId("s1");
@@ -47,8 +47,10 @@
         ServerStatus.ACTIVE);
   }
 
-  private void observe(ServerId server, long term, boolean primary, Position at, long sentNanos) {
-    freshness.observe(new Measurement(server, 1, term, primary, at, at, sentNanos, sentNanos + 1));
+  private void observe(
+      ServerId server, long term, boolean primary, Position position, long sentNanos) {
+    freshness.observe(
+        new Measurement(server, 1, term, primary, position, position, sentNanos, sentNanos + 1));
   }
 
   private Eligibility decide(ReadDemand demand, GroupState group, ServerId id, long nowNanos) {
@@ -62,65 +64,68 @@
   }
 
   /**
-   * A primary writes at random moments, replicas follow with a random lag, and the proxy measures
-   * all of them at random moments with answers that take a random while. Whatever it saw, no entry
-   * older than the stated age is missing from the replica.
+   * The primary writes at random times, the replicas follow with a random lag, and the proxy
+   * measures all servers at random times with random response times. A replica must hold every
+   * entry that is older than its age bound.
    */
   @Property(seed = "20261202", tries = 300)
-  void ageIsNeverTooSmall(
+  void ageBoundIsNeverTooSmall(
       @ForAll @LongRange(min = 0, max = 1_000_000) long seed,
       @ForAll @IntRange(min = 0, max = 300) int maxLag) {
     SplittableRandom random = new SplittableRandom(seed);
-    GroupFreshness tracked = new GroupFreshness();
-    tracked.follow(group(1, S1), 3);
+    GroupFreshness groupFreshness = new GroupFreshness();
+    groupFreshness.follow(group(1, S1), 3);
     int steps = 800;
-    long[] primaryAt = new long[steps + 50];
-    long[][] replicaAt = new long[2][steps + 50];
-    for (int t = 1; t < primaryAt.length; t++) {
-      primaryAt[t] = primaryAt[t - 1] + (random.nextInt(4) == 0 ? 1 : 0);
-      for (long[] applied : replicaAt) {
-        long reached = primaryAt[Math.max(0, t - random.nextInt(maxLag + 1))];
-        applied[t] = Math.max(applied[t - 1], reached);
+    long[] primaryIndex = new long[steps + 50];
+    long[][] replicaIndex = new long[2][steps + 50];
+    for (int t = 1; t < primaryIndex.length; t++) {
+      primaryIndex[t] = primaryIndex[t - 1] + (random.nextInt(4) == 0 ? 1 : 0);
+      for (long[] applied : replicaIndex) {
+        long replicated = primaryIndex[Math.max(0, t - random.nextInt(maxLag + 1))];
+        applied[t] = Math.max(applied[t - 1], replicated);
       }
     }
     int now = 0;
     for (int t = 0; t < steps; t++) {
       int measuredAt = t + random.nextInt(20);
       int receivedAt = measuredAt + random.nextInt(20);
-      int which = random.nextInt(3);
-      long index = which == 0 ? primaryAt[measuredAt] : replicaAt[which - 1][measuredAt];
-      tracked.observe(
+      int serverIndex = random.nextInt(3);
+      long index =
+          serverIndex == 0
+              ? primaryIndex[measuredAt]
+              : replicaIndex[serverIndex - 1][measuredAt];
+      groupFreshness.observe(
           new Measurement(
-              ALL.get(which),
+              ALL.get(serverIndex),
               1,
               1,
-              which == 0,
+              serverIndex == 0,
               new Position(1, index),
               new Position(1, index),
               t,
               receivedAt));
       now = Math.max(now, receivedAt);
       for (int replica = 0; replica < 2; replica++) {
-        OptionalLong asOf =
-            tracked
+        OptionalLong freshAsOf =
+            groupFreshness
                 .of(ALL.get(replica + 1))
                 .map(ServerFreshness::freshAsOfNanos)
                 .orElse(OptionalLong.empty());
-        if (asOf.isPresent()) {
-          assertThat(replicaAt[replica][now]).isAtLeast(primaryAt[(int) asOf.getAsLong()]);
+        if (freshAsOf.isPresent()) {
+          assertThat(replicaIndex[replica][now])
+              .isAtLeast(primaryIndex[(int) freshAsOf.getAsLong()]);
         }
       }
     }
   }
 
   /**
-   * A partition leaves this proxy, the old primary s1 and nobody else on one side. The other side
-   * promotes s2 at time 100, and s2 takes a cancellation. s1 is idle and answers on: without the
-   * confirmation by a majority its replica-side data would look fresh for ever, and the cancelled
-   * talk would show as bounded-fresh.
+   * A partition isolates this proxy and the old primary s1. The other side promotes s2 at time 100
+   * and writes to it, while s1 is idle and keeps answering. Without the confirmation by a majority,
+   * data from before the promotion would count as fresh indefinitely.
    */
   @Test
-  void cutOffPrimaryDoesNotKeepDataFresh() {
+  void partitionedPrimaryDoesNotKeepDataFresh() {
     freshness.follow(group(1, S1), 3);
     Position idle = new Position(1, 7);
     for (ServerId id : ALL) {
@@ -136,11 +141,12 @@
   }
 
   /**
-   * The same partition heals: the view names s2 at term 2, and a majority confirms term 2 at once.
-   * What s1 said between the promotion and the new view must not count now either.
+   * A partition ends after the other side has promoted s2: the view names s2 as the primary of term
+   * 2, and a majority confirms term 2 immediately. Measurements of s1 from between the promotion
+   * and the new view must stay unused.
    */
   @Test
-  void whatReplacedPrimarySaidIsDroppedWithItsTerm() {
+  void measurementsOfReplacedPrimaryAreDroppedWithItsTerm() {
     freshness.follow(group(1, S1), 3);
     Position idle = new Position(1, 7);
     for (ServerId id : ALL) {
@@ -155,8 +161,8 @@
   }
 
   /**
-   * A replica is restored from an old backup and starts again. Its position before the restart says
-   * nothing now: it must not answer until it is measured again.
+   * A replica restarts after a restore from an old backup. Its position before the restart is no
+   * longer valid, so it must not answer reads until it is measured again.
    */
   @Test
   void restartedReplicaIsUnknown() {
@@ -174,8 +180,8 @@
   }
 
   /**
-   * A replaced primary comes back as a replica and still shows index 100 of term 1, though term 2
-   * began at 40. It looks ahead of everybody; what it holds was lost.
+   * A replaced primary rejoins as a replica and still reports index 100 of term 1, although term 2
+   * began at index 40. Its position appears to be the newest, but its last entries were lost.
    */
   @Test
   void returningPrimaryWithLostTailIsDiverged() {
@@ -188,47 +194,48 @@
   }
 
   /**
-   * A replica stops applying. Its last lag was short, so each read of a new entry is expected to
-   * wait a moment; unless an overdue entry raises the estimate, every read waits in vain for ever.
+   * A replica stops applying entries after a short lag was measured. Unless an overdue entry raises
+   * the estimated delay, every read of a newer entry waits for this replica until its timeout.
    */
   @Test
-  void stoppedReplicaStopsLookingAboutToCatchUp() {
+  void estimatedDelayGrowsForStoppedReplica() {
     GroupState group = group(1, S1);
     freshness.follow(group, 3);
     observe(S1, 1, true, new Position(1, 5), 0);
     observe(S2, 1, false, new Position(1, 5), 20);
     observe(S1, 1, true, new Position(1, 6), 99);
     ReadDemand demand = ReadDemand.session(Requirement.atLeast(new Position(1, 6)));
-    assertThat(decide(demand, group, S2, 110).arrivalNanos()).isEqualTo(OptionalLong.of(11));
+    assertThat(decide(demand, group, S2, 110).catchUpNanos()).isEqualTo(OptionalLong.of(11));
     observe(S2, 1, false, new Position(1, 5), 5_000);
-    assertThat(decide(demand, group, S2, 5_100).arrivalNanos().getAsLong()).isAtLeast(4_000L);
+    assertThat(decide(demand, group, S2, 5_100).catchUpNanos().getAsLong()).isAtLeast(4_000L);
   }
 
   /**
-   * A proxy has just started on a quiet group and measured a replica before the primary. The first
-   * read after a write found no estimate of the replica's lag and went to the primary.
+   * A proxy that has just started measures a replica before the primary, on an idle group. Without
+   * an estimate of the replica's lag, the first read after a write goes to the primary.
    */
   @Test
-  void firstReadAfterStartHasAnEstimateOfTheLag() {
+  void lagIsEstimatedForFirstReadAfterStart() {
     GroupState group = group(1, S1);
     freshness.follow(group, 3);
     observe(S2, 1, false, new Position(1, 5), 0);
     observe(S1, 1, true, new Position(1, 5), 2);
     ReadDemand demand = ReadDemand.session(Requirement.atLeast(new Position(1, 6)));
-    assertThat(decide(demand, group, S2, 30).arrivalNanos().isPresent()).isTrue();
+    assertThat(decide(demand, group, S2, 30).catchUpNanos().isPresent()).isTrue();
   }
 
   @Test
-  void historyStaysBoundedAndConservative() {
+  void historyIsBoundedAndNeverReturnsLaterTimes() {
     PositionHistory history = new PositionHistory();
     for (int i = 1; i <= 100_000; i++) {
       history.record(new Position(1, i), i * 10L, i * 10L + 5);
     }
     assertThat(history.size()).isAtMost(PositionHistory.CAPACITY);
     for (int i = 1; i <= 100_000; i += 97) {
-      OptionalLong held = history.heldUntil(new Position(1, i));
-      assertThat(held.orElse(0)).isAtMost(i * 10L);
+      OptionalLong latestNanos = history.latestAtOrBefore(new Position(1, i));
+      assertThat(latestNanos.orElse(0)).isAtMost(i * 10L);
     }
-    assertThat(history.heldUntil(new Position(1, 99_999))).isEqualTo(OptionalLong.of(999_990));
+    assertThat(history.latestAtOrBefore(new Position(1, 99_999)))
+        .isEqualTo(OptionalLong.of(999_990));
   }
 }
