--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadPath.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadPath.java
@@ -114,7 +114,7 @@
                 candidates(read, known),
                 routedBy,
                 known.reachedBy(routedBy.requirement().position()),
-                primaryReadRoom(read.group),
+                primaryReadCapacity(read.group),
                 now,
                 Math.max(0, read.deadlineNanos - now)));
     routingLog.write(read.flow.pool(), read.group.id(), routedBy, decision);
@@ -137,7 +137,7 @@
         .toList();
   }
 
-  private int primaryReadRoom(GroupState group) {
+  private int primaryReadCapacity(GroupState group) {
     return group.primary().map(id -> gates.readRoom(id, group.slotsPerServer())).orElse(0);
   }
 
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadStack.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadStack.java
@@ -107,7 +107,7 @@
 
   private void follow(View view) {
     freshness.updateView(view);
-    loads.retain(view.servers().keySet());
+    loads.retainOnly(view.servers().keySet());
   }
 
   private void measured(ServerState server, Optional<ServerObservation> observation) {
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/read/RoutingLog.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/read/RoutingLog.java
@@ -34,7 +34,7 @@
         decision.server().map(server -> server.id().value()).orElse("none"),
         demand.requirement().position(),
         decision.waitNanos() / 1_000_000,
-        decision.eligible(),
+        decision.eligibleCount(),
         Math.max(0, leftOut.getAndSet(0) - 1));
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ServerRunner.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ServerRunner.java
@@ -60,7 +60,7 @@
         .whenComplete(
             (permit, refused) -> {
               if (refused != null) {
-                loads.abandon(server);
+                loads.cancel(server);
               }
             })
         .thenCompose(permit -> send(server, statement, deadlineNanos, permit));
@@ -107,15 +107,15 @@
     boolean busy = failure != null && Futures.typed(failure).code() == ErrorCode.OVERLOADED;
     if (failure != null && !refusedByServer && withoutConnection(failure)) {
       permit.notSent();
-      loads.abandon(server);
+      loads.cancel(server);
       return;
     }
     permit.end(failure == null || refusedByServer && !busy);
     if (failure == null || refusedByServer) {
-      loads.succeed(server, Math.max(1, latencyNanos));
+      loads.recordSuccess(server, Math.max(1, latencyNanos));
       return;
     }
-    if (loads.fail(server)) {
+    if (loads.recordFailure(server)) {
       metrics.ejected();
       log.warn("event=eject server={} reason={}", server.id(), Futures.typed(failure).code());
     }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/routing/Candidate.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/routing/Candidate.java
@@ -6,15 +6,15 @@
 import org.alderyard.proxy.freshness.ServerFreshness;
 
 /**
- * A server of the group, with all that the routing of a read weighs.
+ * A server of the group with the inputs to a routing decision.
  *
  * @param server the server
- * @param load the work of this proxy at it
- * @param freshness what is known of its data
+ * @param load this proxy's load on the server
+ * @param freshness the measured freshness of the server; empty before the first measurement
  */
 public record Candidate(ServerState server, ServerLoad load, Optional<ServerFreshness> freshness) {
 
-  /** Checks. */
+  /** Rejects null components. */
   public Candidate {
     Objects.requireNonNull(server);
     Objects.requireNonNull(load);
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/routing/ReadRouter.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/routing/ReadRouter.java
@@ -14,61 +14,64 @@
 import org.alderyard.proxy.freshness.FreshnessMode;
 
 /**
- * Decides which server answers a read. Pure, apart from the draw of the chooser.
+ * Selects the server that answers a read. Decisions depend only on the request, except for the
+ * random draw of the {@link ServerChooser}.
  *
- * <p>A replica that is fresh enough comes first; then one that is expected to be within the budget
- * for waiting; then the primary, as long as it has room for reads. When every replica is far behind
- * the primary would get all reads and no write would pass: what it has no room for is refused with
- * a hint of when to come back.
+ * <p>The router prefers a replica that is fresh enough, then a replica that is expected to be fresh
+ * enough within the wait budget, then the primary while it has capacity for reads. If every replica
+ * is far behind, all reads would go to the primary and block its writes. Reads beyond the capacity
+ * of the primary are therefore rejected with a retry delay.
  */
 public final class ReadRouter {
-  /** When a refused caller should come back if nothing better is known. */
-  private static final long DEFAULT_RETRY_MILLIS = 100;
+  /** Retry delay of a rejected read if there is no estimate of when a replica catches up. */
+  private static final long DEFAULT_RETRY_DELAY_MILLIS = 100;
 
-  private static final long MAX_RETRY_MILLIS = 5_000;
+  private static final long MAX_RETRY_DELAY_MILLIS = 5_000;
 
   private final ServerChooser chooser;
   private final long waitBudgetNanos;
 
-  /** Creates a router that lets a read wait for a replica for at most the given budget. */
+  /** Creates a router that lets a read wait at most the given time for a replica. */
   public ReadRouter(ServerChooser chooser, long waitBudgetNanos) {
     this.chooser = Objects.requireNonNull(chooser);
     this.waitBudgetNanos = waitBudgetNanos;
   }
 
-  /** Decides for one read. */
+  /** Returns the routing decision for a read, which may be a refusal. */
   public RoutingDecision decide(ReadRequest read) {
-    Sorted sorted = sort(read);
+    ReplicasByEligibility replicas = classify(read);
     if (read.demand().mode() == FreshnessMode.PRIMARY) {
-      return primary(read, RoutingReason.PRIMARY_DEMANDED, OptionalLong.empty());
+      return routeToPrimary(read, RoutingReason.PRIMARY_DEMANDED, OptionalLong.empty());
     }
-    if (!sorted.eligible.isEmpty()) {
-      Candidate chosen = chooser.choose(sorted.eligible);
+    if (!replicas.eligible.isEmpty()) {
+      Candidate chosen = chooser.choose(replicas.eligible);
       OptionalLong age =
           chosen
               .freshness()
-              .map(f -> f.ageBoundNanos(read.nowNanos()))
+              .map(fresh -> fresh.ageBoundNanos(read.nowNanos()))
               .orElse(OptionalLong.empty());
-      return RoutingDecision.replica(chosen.server(), age, sorted.eligible.size());
+      return RoutingDecision.replica(chosen.server(), age, replicas.eligible.size());
     }
-    // Half of the deadline stays for the primary, should the replica not arrive.
+    // Half of the remaining time is reserved for the primary, in case the replica doesn't catch up.
     long budget = Math.min(waitBudgetNanos, read.remainingNanos() / 2);
-    Optional<RoutingDecision> waiting = waiting(RoutingReason.REPLICA_WAIT, read, sorted, budget);
-    if (waiting.isPresent()) {
-      return waiting.get();
+    Optional<RoutingDecision> shortWait =
+        waitForReplica(RoutingReason.REPLICA_WAIT, read, replicas, budget);
+    if (shortWait.isPresent()) {
+      return shortWait.get();
     }
-    if (read.primaryReadRoom() <= 0) {
-      Optional<RoutingDecision> longer =
-          waiting(RoutingReason.REPLICA_WAIT_PRIMARY_BUSY, read, sorted, read.remainingNanos() / 2);
-      if (longer.isPresent()) {
-        return longer.get();
+    if (read.primaryReadCapacity() <= 0) {
+      Optional<RoutingDecision> longerWait =
+          waitForReplica(
+              RoutingReason.REPLICA_WAIT_PRIMARY_BUSY, read, replicas, read.remainingNanos() / 2);
+      if (longerWait.isPresent()) {
+        return longerWait.get();
       }
     }
-    return primary(read, primaryReason(read, sorted), sorted.soonestNanos());
+    return routeToPrimary(read, primaryReason(read, replicas), replicas.minCatchUpNanos());
   }
 
-  private static Sorted sort(ReadRequest read) {
-    Sorted sorted = new Sorted();
+  private static ReplicasByEligibility classify(ReadRequest read) {
+    ReplicasByEligibility replicas = new ReplicasByEligibility();
     for (Candidate candidate : read.candidates()) {
       ServerState server = candidate.server();
       boolean isPrimary = read.group().primary().equals(Optional.of(server.id()));
@@ -81,61 +84,62 @@
               read.group(),
               server,
               candidate.freshness(),
-              read.reachedNanos(),
+              read.writtenByNanos(),
               read.nowNanos());
       if (eligibility.eligible()) {
-        sorted.eligible.add(candidate);
+        replicas.eligible.add(candidate);
       }
       if (eligibility.verdict() == Eligibility.Verdict.BEHIND) {
-        sorted.behind.add(candidate);
-        sorted.arrivals.add(eligibility.catchUpNanos());
+        replicas.behind.add(candidate);
+        replicas.catchUpTimes.add(eligibility.catchUpNanos());
       }
     }
-    return sorted;
+    return replicas;
   }
 
-  private Optional<RoutingDecision> waiting(
-      RoutingReason reason, ReadRequest read, Sorted sorted, long budgetNanos) {
-    List<Candidate> inTime = new ArrayList<>();
-    for (int i = 0; i < sorted.behind.size(); i++) {
-      OptionalLong arrival = sorted.arrivals.get(i);
-      if (arrival.isPresent() && arrival.getAsLong() <= budgetNanos) {
-        inTime.add(sorted.behind.get(i));
+  private Optional<RoutingDecision> waitForReplica(
+      RoutingReason reason, ReadRequest read, ReplicasByEligibility replicas, long budgetNanos) {
+    List<Candidate> candidates = new ArrayList<>();
+    for (int i = 0; i < replicas.behind.size(); i++) {
+      OptionalLong catchUpNanos = replicas.catchUpTimes.get(i);
+      if (catchUpNanos.isPresent() && catchUpNanos.getAsLong() <= budgetNanos) {
+        candidates.add(replicas.behind.get(i));
       }
     }
-    if (inTime.isEmpty()) {
+    if (candidates.isEmpty()) {
       return Optional.empty();
     }
     return Optional.of(
-        RoutingDecision.waiting(
+        RoutingDecision.waitForReplica(
             reason,
-            chooser.choose(inTime).server(),
+            chooser.choose(candidates).server(),
             read.demand().requirement().position(),
             budgetNanos));
   }
 
-  private static RoutingReason primaryReason(ReadRequest read, Sorted sorted) {
+  private static RoutingReason primaryReason(ReadRequest read, ReplicasByEligibility replicas) {
     if (read.demand().requirement().primaryOnly()) {
       return RoutingReason.PRIMARY_SESSION_FOLDED;
     }
-    return sorted.behind.isEmpty()
+    return replicas.behind.isEmpty()
         ? RoutingReason.PRIMARY_REPLICAS_UNKNOWN
         : RoutingReason.PRIMARY_REPLICAS_BEHIND;
   }
 
-  private static RoutingDecision primary(
-      ReadRequest read, RoutingReason reason, OptionalLong soonestNanos) {
+  private static RoutingDecision routeToPrimary(
+      ReadRequest read, RoutingReason reason, OptionalLong minCatchUpNanos) {
     Optional<ServerState> primary = activePrimary(read);
-    long retryMillis = retryMillis(soonestNanos);
+    long retryDelayMillis = retryDelayMillis(minCatchUpNanos);
     if (primary.isEmpty()) {
       boolean anyActive =
-          read.candidates().stream().anyMatch(c -> c.server().status() == ServerStatus.ACTIVE);
+          read.candidates().stream()
+              .anyMatch(candidate -> candidate.server().status() == ServerStatus.ACTIVE);
       RoutingReason refusal =
           anyActive ? RoutingReason.REFUSED_NO_PRIMARY : RoutingReason.REFUSED_NO_SERVER;
-      return RoutingDecision.refused(refusal, retryMillis);
+      return RoutingDecision.refused(refusal, retryDelayMillis);
     }
-    if (read.primaryReadRoom() <= 0) {
-      return RoutingDecision.refused(RoutingReason.REFUSED_PRIMARY_BUSY, retryMillis);
+    if (read.primaryReadCapacity() <= 0) {
+      return RoutingDecision.refused(RoutingReason.REFUSED_PRIMARY_BUSY, retryDelayMillis);
     }
     return RoutingDecision.primary(reason, primary.get());
   }
@@ -149,22 +153,22 @@
         .findFirst();
   }
 
-  private static long retryMillis(OptionalLong soonestNanos) {
-    if (soonestNanos.isEmpty()) {
-      return DEFAULT_RETRY_MILLIS;
+  private static long retryDelayMillis(OptionalLong minCatchUpNanos) {
+    if (minCatchUpNanos.isEmpty()) {
+      return DEFAULT_RETRY_DELAY_MILLIS;
     }
-    long millis = TimeUnit.NANOSECONDS.toMillis(soonestNanos.getAsLong()) + 1;
-    return Math.min(MAX_RETRY_MILLIS, Math.max(DEFAULT_RETRY_MILLIS, millis));
+    long millis = TimeUnit.NANOSECONDS.toMillis(minCatchUpNanos.getAsLong()) + 1;
+    return Math.min(MAX_RETRY_DELAY_MILLIS, Math.max(DEFAULT_RETRY_DELAY_MILLIS, millis));
   }
 
-  /** The replicas of one read by what they can do for it. */
-  private static final class Sorted {
+  /** The replicas that one read can use, by eligibility. */
+  private static final class ReplicasByEligibility {
     final List<Candidate> eligible = new ArrayList<>();
     final List<Candidate> behind = new ArrayList<>();
-    final List<OptionalLong> arrivals = new ArrayList<>();
+    final List<OptionalLong> catchUpTimes = new ArrayList<>();
 
-    OptionalLong soonestNanos() {
-      return arrivals.stream()
+    OptionalLong minCatchUpNanos() {
+      return catchUpTimes.stream()
           .filter(OptionalLong::isPresent)
           .mapToLong(OptionalLong::getAsLong)
           .min();
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/routing/RoutingDecision.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/routing/RoutingDecision.java
@@ -9,15 +9,16 @@
 import org.alderyard.common.view.ServerState;
 
 /**
- * Where a read goes, and why.
+ * The server that a read is routed to, with the reason of the decision.
  *
  * @param reason the reason
- * @param server the server; empty if the read was refused
- * @param waitFor the position that the server must have applied before it runs the read
- * @param waitNanos how long the server may wait for it; then the read goes to the primary
- * @param ageBoundNanos an age that the data of the server does not exceed, where known
- * @param eligible how many replicas were fresh enough
- * @param retryAfterMillis when a refused caller should come back
+ * @param server the server; empty if the read is refused
+ * @param waitFor the position that the server must have applied before the read is sent; empty if
+ *     the read is sent immediately
+ * @param waitNanos the maximum time to wait for that position; then the read goes to the primary
+ * @param ageBoundNanos an upper bound for the age of the server's data; empty if unknown
+ * @param eligibleCount the number of replicas that are fresh enough
+ * @param retryAfterMillis the delay after which a refused caller should retry
  */
 public record RoutingDecision(
     RoutingReason reason,
@@ -25,10 +26,10 @@
     Optional<Position> waitFor,
     long waitNanos,
     OptionalLong ageBoundNanos,
-    int eligible,
+    int eligibleCount,
     long retryAfterMillis) {
 
-  /** Checks. */
+  /** Rejects null components. */
   public RoutingDecision {
     Objects.requireNonNull(reason);
     Objects.requireNonNull(server);
@@ -36,18 +37,18 @@
     Objects.requireNonNull(ageBoundNanos);
   }
 
-  static RoutingDecision replica(ServerState server, OptionalLong ageBoundNanos, int eligible) {
+  static RoutingDecision replica(ServerState server, OptionalLong ageBoundNanos, int eligibleCount) {
     return new RoutingDecision(
         RoutingReason.REPLICA_FRESH,
         Optional.of(server),
         Optional.empty(),
         0,
         ageBoundNanos,
-        eligible,
+        eligibleCount,
         0);
   }
 
-  static RoutingDecision waiting(
+  static RoutingDecision waitForReplica(
       RoutingReason reason, ServerState server, Position position, long waitNanos) {
     return new RoutingDecision(
         reason, Optional.of(server), Optional.of(position), waitNanos, OptionalLong.empty(), 0, 0);
@@ -63,7 +64,11 @@
         reason, Optional.empty(), Optional.empty(), 0, OptionalLong.empty(), 0, retryAfterMillis);
   }
 
-  /** Returns the server, or throws the typed error of a refusal; nothing was sent by then. */
+  /**
+   * Returns the server.
+   *
+   * @throws AlderyardException with outcome {@code NOT_RUN} if the read is refused
+   */
   public ServerState serverOrThrow() {
     return server.orElseThrow(this::refusal);
   }
@@ -73,7 +78,7 @@
       case REFUSED_PRIMARY_BUSY ->
           AlderyardException.notRun(
               ErrorCode.OVERLOADED,
-              "every replica is behind and the primary has no room for reads",
+              "every replica is behind and the primary has no capacity for reads",
               retryAfterMillis);
       case REFUSED_NO_PRIMARY ->
           AlderyardException.notRun(
@@ -82,7 +87,7 @@
               retryAfterMillis);
       default ->
           AlderyardException.notRun(
-              ErrorCode.NO_ELIGIBLE_SERVER, "no server of the group gets work", retryAfterMillis);
+              ErrorCode.NO_ELIGIBLE_SERVER, "no server of the group accepts reads", retryAfterMillis);
     };
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/routing/RoutingReason.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/routing/RoutingReason.java
@@ -1,26 +1,32 @@
 package org.alderyard.proxy.routing;
 
-/** Why a read goes where it goes. */
+/** The reason of a routing decision. */
 public enum RoutingReason {
   /** A replica is fresh enough. */
   REPLICA_FRESH,
-  /** A replica is expected to be fresh enough within the budget for waiting. */
+  /** A replica is expected to be fresh enough within the wait budget. */
   REPLICA_WAIT,
-  /** The primary has no room for reads; a replica is expected within the deadline. */
+  /**
+   * The primary has no capacity for reads, and a replica is expected to be fresh enough within half
+   * of the time that remains until the deadline.
+   */
   REPLICA_WAIT_PRIMARY_BUSY,
   /** The caller asked for the primary. */
   PRIMARY_DEMANDED,
-  /** The session's position was folded away. */
+  /**
+   * The session state no longer contains the session's position in the group, so only the primary
+   * is certain to hold it.
+   */
   PRIMARY_SESSION_FOLDED,
   /** No replica is fresh enough. */
   PRIMARY_REPLICAS_BEHIND,
-  /** Nothing is known of any replica, or none gets work. */
+  /** No replica has been measured, or none accepts reads. */
   PRIMARY_REPLICAS_UNKNOWN,
-  /** Only the primary is fresh enough and it has no room for reads: come back later. */
+  /** Only the primary is fresh enough, and it has no capacity for reads. */
   REFUSED_PRIMARY_BUSY,
-  /** Only the primary is fresh enough and there is none. */
+  /** No replica is fresh enough, and the group has no primary. */
   REFUSED_NO_PRIMARY,
-  /** No server of the group gets work. */
+  /** No server of the group accepts reads. */
   REFUSED_NO_SERVER;
 
   /** Returns whether a replica serves the read. */
@@ -28,7 +34,7 @@
     return this == REPLICA_FRESH || this == REPLICA_WAIT || this == REPLICA_WAIT_PRIMARY_BUSY;
   }
 
-  /** Returns whether the read was refused. */
+  /** Returns whether the read is refused. */
   public boolean refused() {
     return this == REFUSED_PRIMARY_BUSY || this == REFUSED_NO_PRIMARY || this == REFUSED_NO_SERVER;
   }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/routing/ServerHealth.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/routing/ServerHealth.java
@@ -3,49 +3,50 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Whether one server keeps failing, and how it comes back. Not safe for several threads.
+ * Ejects a server that fails repeatedly and readmits it with a slow start. Not thread-safe.
  *
- * <p>After {@link #FAILURES_TO_EJECT} failures in a row the server is ejected, for longer each time
- * it happens again. Afterwards its weight grows from {@link #FIRST_WEIGHT} to 1: a server that
- * comes back has cold caches, and all proxies turn to the idle newcomer at once.
+ * <p>A server is ejected after {@link #FAILURES_TO_EJECT} consecutive failures. The ejection time
+ * doubles with each further ejection. After an ejection, the weight of the server grows from {@link
+ * #INITIAL_WEIGHT} to 1, because the server may have cold caches and all proxies would otherwise
+ * send their reads to the idle server at the same time.
  */
 final class ServerHealth {
   static final int FAILURES_TO_EJECT = 5;
-  static final double FIRST_WEIGHT = 0.1;
+  static final double INITIAL_WEIGHT = 0.1;
   static final long BASE_EJECTION_NANOS = TimeUnit.SECONDS.toNanos(2);
   static final long SLOW_START_NANOS = TimeUnit.SECONDS.toNanos(10);
   private static final int MAX_DOUBLINGS = 5;
 
-  private int failuresInRow;
+  private int consecutiveFailures;
   private int ejections;
   private long ejectedUntilNanos;
-  private long startedNanos;
+  private long slowStartBeginNanos;
 
   ServerHealth(long nowNanos) {
     ejectedUntilNanos = nowNanos;
-    startedNanos = nowNanos;
+    slowStartBeginNanos = nowNanos;
   }
 
-  void succeeded(long nowNanos) {
-    failuresInRow = 0;
-    boolean steady = nowNanos - startedNanos > 2 * SLOW_START_NANOS;
+  void recordSuccess(long nowNanos) {
+    consecutiveFailures = 0;
+    boolean steady = nowNanos - slowStartBeginNanos > 2 * SLOW_START_NANOS;
     if (steady) {
       ejections = 0;
     }
   }
 
-  /** Takes in a failure; returns whether the server should be ejected now. */
-  boolean failed(long nowNanos) {
-    failuresInRow++;
-    return failuresInRow >= FAILURES_TO_EJECT && !ejected(nowNanos);
+  /** Records a failure. Returns whether the server should be ejected. */
+  boolean recordFailure(long nowNanos) {
+    consecutiveFailures++;
+    return consecutiveFailures >= FAILURES_TO_EJECT && !ejected(nowNanos);
   }
 
   void eject(long nowNanos) {
     int doublings = Math.min(ejections, MAX_DOUBLINGS);
     ejectedUntilNanos = nowNanos + (BASE_EJECTION_NANOS << doublings);
-    startedNanos = ejectedUntilNanos;
+    slowStartBeginNanos = ejectedUntilNanos;
     ejections++;
-    failuresInRow = 0;
+    consecutiveFailures = 0;
   }
 
   boolean ejected(long nowNanos) {
@@ -53,11 +54,11 @@
   }
 
   double weight(long nowNanos) {
-    long since = nowNanos - startedNanos;
-    if (since >= SLOW_START_NANOS) {
+    long elapsedNanos = nowNanos - slowStartBeginNanos;
+    if (elapsedNanos >= SLOW_START_NANOS) {
       return 1.0;
     }
-    double grown = Math.max(0, since) / (double) SLOW_START_NANOS;
-    return FIRST_WEIGHT + (1.0 - FIRST_WEIGHT) * grown;
+    double progress = Math.max(0, elapsedNanos) / (double) SLOW_START_NANOS;
+    return INITIAL_WEIGHT + (1.0 - INITIAL_WEIGHT) * progress;
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/routing/ServerLoad.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/routing/ServerLoad.java
@@ -1,20 +1,21 @@
 package org.alderyard.proxy.routing;
 
 /**
- * What one proxy knows of its own work at one server.
+ * Snapshot of one proxy's load on one server.
  *
- * @param outstanding the statements that run or wait there
- * @param slots the statements that the server runs at once
+ * @param outstanding the number of statements that run on the server or are queued for it
+ * @param slots the number of statements that the server runs concurrently
  * @param latencyNanos the smoothed latency; 0 if unknown
- * @param weight the share of the usual work that the server gets, above 0 to 1
- * @param ejected whether it gets no reads for now
+ * @param weight the fraction of its normal load that the server receives, greater than 0 and at
+ *     most 1
+ * @param ejected whether the server currently receives no reads
  */
 public record ServerLoad(
     int outstanding, int slots, long latencyNanos, double weight, boolean ejected) {
-  /** A server without any work yet. */
+  /** The load of a server without any statements. */
   public static final ServerLoad IDLE = new ServerLoad(0, 1, 0, 1.0, false);
 
-  /** Returns the same load of a server that gets no reads for now. */
+  /** Returns a copy that is marked as ejected. */
   public ServerLoad asEjected() {
     return new ServerLoad(outstanding, slots, latencyNanos, weight, true);
   }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/routing/ServerLoads.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/routing/ServerLoads.java
@@ -12,15 +12,15 @@
 import org.alderyard.common.view.ServerState;
 
 /**
- * This proxy's work at each server: outstanding statements, latency and failures.
+ * Tracks this proxy's load on each server: outstanding statements, latency and failures.
  *
- * <p>Lock: the object itself, a leaf; nothing is called while it is held.
+ * <p>Thread-safe. The object's own monitor is a leaf lock; no other lock is taken while it is held.
  */
 public final class ServerLoads {
-  /** The greatest share of a group's servers that is ejected at once. */
+  /** The maximum fraction of a group's servers that may be ejected at the same time. */
   static final double MAX_EJECTED_SHARE = 0.5;
 
-  /** After this time without an answer a latency counts half. */
+  /** The time without an answer after which a measured latency has decayed to half. */
   private static final long LATENCY_HALF_LIFE_NANOS = TimeUnit.SECONDS.toNanos(2);
 
   private static final double LATENCY_SMOOTHING = 0.2;
@@ -34,7 +34,7 @@
     this.clock = Objects.requireNonNull(clock);
   }
 
-  /** Returns the load of a server; a new start of the server begins with a slow start. */
+  /** Returns the load of a server. A new incarnation of a server begins with a slow start. */
   public synchronized ServerLoad of(ServerState server, int slots) {
     Entry entry = entry(server);
     long now = clock.nowNanos();
@@ -46,58 +46,66 @@
         entry.health.ejected(now));
   }
 
-  /** Counts a statement that is about to be sent or queued. */
+  /** Records a statement that is about to be sent or queued. */
   public synchronized void begin(ServerState server) {
     entry(server).outstanding++;
   }
 
-  /** Counts a statement that was given up before it was sent: it says nothing of the server. */
-  public synchronized void abandon(ServerState server) {
+  /** Removes a statement that was never sent, which doesn't affect the health of the server. */
+  public synchronized void cancel(ServerState server) {
     release(server);
   }
 
-  /** Counts an answer. */
-  public synchronized void succeed(ServerState server, long latencyNanos) {
+  /** Records an answer and its latency. */
+  public synchronized void recordSuccess(ServerState server, long latencyNanos) {
     release(server)
         .ifPresent(
             entry -> {
               long now = clock.nowNanos();
-              entry.health.succeeded(now);
+              entry.health.recordSuccess(now);
               entry.addLatency(latencyNanos, now);
             });
   }
 
   /**
-   * Counts a failure of the server itself (no connection, no answer, a broken answer).
+   * Records a failure of the server itself: no connection, no answer or a malformed answer.
    *
-   * @return whether the server was ejected by it
+   * @return whether the failure caused the server to be ejected
    */
-  public synchronized boolean fail(ServerState server) {
+  public synchronized boolean recordFailure(ServerState server) {
     Optional<Entry> entry = release(server);
     long now = clock.nowNanos();
-    if (entry.isEmpty() || !entry.get().health.failed(now) || !roomToEject(server.group(), now)) {
+    if (entry.isEmpty()
+        || !entry.get().health.recordFailure(now)
+        || !mayEject(server.group(), now)) {
       return false;
     }
     entry.get().health.eject(now);
     return true;
   }
 
-  /** Forgets the servers that left the view. */
-  public synchronized void retain(Set<ServerId> servers) {
+  /** Removes all servers except the given ones. */
+  public synchronized void retainOnly(Set<ServerId> servers) {
     entries.keySet().retainAll(servers);
   }
 
-  /** A fault that all servers share is not theirs: ejecting all would turn it into an outage. */
-  private boolean roomToEject(GroupId group, long now) {
-    long servers = entries.values().stream().filter(e -> e.group.equals(group)).count();
+  /**
+   * Returns whether another server of the group may be ejected. A fault that affects all servers
+   * has a common cause, and ejecting all of them would turn the fault into an outage.
+   */
+  private boolean mayEject(GroupId group, long now) {
+    long servers = entries.values().stream().filter(entry -> entry.group.equals(group)).count();
     long ejected =
         entries.values().stream()
-            .filter(e -> e.group.equals(group) && e.health.ejected(now))
+            .filter(entry -> entry.group.equals(group) && entry.health.ejected(now))
             .count();
     return ejected + 1 <= Math.floor(servers * MAX_EJECTED_SHARE);
   }
 
-  /** Work that began with an earlier start of the server is not counted at the present one. */
+  /**
+   * Decrements the outstanding statements of a server. Returns empty for a statement that began
+   * with an earlier incarnation, since it is not part of the current count.
+   */
   private Optional<Entry> release(ServerState server) {
     Entry entry = entries.get(server.id());
     if (entry == null || entry.incarnation != server.incarnation()) {
@@ -123,7 +131,7 @@
     final ServerHealth health;
     int outstanding;
     private double latencyNanos;
-    private long latencyAtNanos;
+    private long measuredAtNanos;
 
     Entry(ServerState server, long now) {
       this.incarnation = server.incarnation();
@@ -132,15 +140,19 @@
     }
 
     void addLatency(long nanos, long now) {
-      double before = latencyNanos == 0 ? nanos : latencyNanos(now);
-      // A rise counts at once, a fall by and by: a server that slows down is left early.
-      latencyNanos = nanos > before ? nanos : before + LATENCY_SMOOTHING * (nanos - before);
-      latencyAtNanos = now;
+      double previous = latencyNanos == 0 ? nanos : latencyNanos(now);
+      // A rise applies immediately and a fall is smoothed, so that load moves away early from a
+      // server that slows down.
+      latencyNanos = nanos > previous ? nanos : previous + LATENCY_SMOOTHING * (nanos - previous);
+      measuredAtNanos = now;
     }
 
-    /** Decays while nothing is measured, so that a server that was slow once is tried again. */
+    /**
+     * Returns the latency, which decays while nothing is measured so that a server that was slow
+     * receives reads again.
+     */
     long latencyNanos(long now) {
-      double halfLives = (now - latencyAtNanos) / (double) LATENCY_HALF_LIFE_NANOS;
+      double halfLives = (now - measuredAtNanos) / (double) LATENCY_HALF_LIFE_NANOS;
       return (long) (latencyNanos * Math.pow(0.5, halfLives));
     }
   }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/routing/package-info.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/routing/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The choice of the server for a read: who is fresh enough, and who of them is best.
+ * Routing of reads: selects the least loaded server among those that are fresh enough.
  *
- * <p>{@link org.alderyard.proxy.routing.ReadRouter} is pure; what it weighs of each server comes
- * from {@link org.alderyard.proxy.routing.ServerLoads}, which the workers share.
+ * <p>{@link org.alderyard.proxy.routing.ReadRouter} has no mutable state. The load of each server
+ * comes from {@link org.alderyard.proxy.routing.ServerLoads}, which all workers share.
  */
 package org.alderyard.proxy.routing;
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/routing/ReadRouterTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/routing/ReadRouterTest.java
@@ -30,26 +30,26 @@
 import org.alderyard.proxy.session.Requirement;
 import org.junit.jupiter.api.Test;
 
-/** The choice of the server for a read. */
+/** Tests the routing of reads, load balancing and ejection. */
 class ReadRouterTest {
   private static final GroupId GROUP = new GroupId("g1");
-  private static final ZoneName OWN = new ZoneName("quimper");
-  private static final ZoneName OTHER = new ZoneName("vannes");
+  private static final ZoneName OWN_ZONE = new ZoneName("quimper");
+  private static final ZoneName OTHER_ZONE = new ZoneName("vannes");
   private static final long NOW = 1_000_000_000L;
   private static final long MILLI = 1_000_000L;
   private static final Position WRITTEN = new Position(1, 50);
   private static final ReadDemand OWN_WRITE = ReadDemand.session(Requirement.atLeast(WRITTEN));
 
-  private final ServerState primary = server("s1", OWN, ServerStatus.ACTIVE);
-  private final ServerState near = server("s2", OWN, ServerStatus.ACTIVE);
-  private final ServerState far = server("s3", OTHER, ServerStatus.ACTIVE);
+  private final ServerState primary = server("s1", OWN_ZONE, ServerStatus.ACTIVE);
+  private final ServerState near = server("s2", OWN_ZONE, ServerStatus.ACTIVE);
+  private final ServerState far = server("s3", OTHER_ZONE, ServerStatus.ACTIVE);
   private final GroupState group =
       new GroupState(GROUP, 1, Optional.of(primary.id()), List.of(), 2, 40);
   private final ReadRouter router = new ReadRouter(chooser(1), 300 * MILLI);
 
   private static ServerChooser chooser(long seed) {
     return new ServerChooser(
-        OWN, ServerChooser.DEFAULT_OTHER_ZONE_FACTOR, new SplittableRandom(seed));
+        OWN_ZONE, ServerChooser.DEFAULT_OTHER_ZONE_FACTOR, new SplittableRandom(seed));
   }
 
   private static ServerState server(String id, ZoneName zone, ServerStatus status) {
@@ -57,7 +57,7 @@
         new ServerId(id), 1, GROUP, zone, new InetSocketAddress("127.0.0.1", 1), status);
   }
 
-  private static Candidate at(ServerState server, long index, long lagMillis) {
+  private static Candidate candidate(ServerState server, long index, long lagMillis) {
     ServerFreshness fresh =
         new ServerFreshness(
             server.id(),
@@ -69,108 +69,109 @@
   }
 
   private RoutingDecision decide(
-      ReadDemand demand, GroupState in, int primaryRoom, Candidate... replicas) {
+      ReadDemand demand, GroupState state, int primaryReadCapacity, Candidate... replicas) {
     List<Candidate> all =
-        Stream.concat(Stream.of(at(primary, 60, 0)), Stream.of(replicas)).toList();
+        Stream.concat(Stream.of(candidate(primary, 60, 0)), Stream.of(replicas)).toList();
     return router.decide(
-        new ReadRequest(in, all, demand, OptionalLong.of(NOW), primaryRoom, NOW, 2_000 * MILLI));
+        new ReadRequest(
+            state, all, demand, OptionalLong.of(NOW), primaryReadCapacity, NOW, 2_000 * MILLI));
   }
 
-  private static Requirement folded() {
+  private static Requirement primaryOnly() {
     return Requirement.PRIMARY;
   }
 
   @Test
-  void freshReplicaGoesFirst() {
-    RoutingDecision decision = decide(OWN_WRITE, group, 1, at(near, 49, 200), at(far, 50, 10));
+  void freshReplicaIsPreferred() {
+    RoutingDecision decision = decide(OWN_WRITE, group, 1, candidate(near, 49, 200), candidate(far, 50, 10));
     assertThat(decision.reason()).isEqualTo(RoutingReason.REPLICA_FRESH);
     assertThat(decision.server()).hasValue(far);
-    assertThat(decision.eligible()).isEqualTo(1);
+    assertThat(decision.eligibleCount()).isEqualTo(1);
   }
 
   @Test
-  void replicaThatArrivesWithinTheBudgetIsWaitedFor() {
-    RoutingDecision decision = decide(OWN_WRITE, group, 1, at(near, 49, 200), at(far, 40, 900));
+  void readWaitsForReplicaThatCatchesUpWithinBudget() {
+    RoutingDecision decision = decide(OWN_WRITE, group, 1, candidate(near, 49, 200), candidate(far, 40, 900));
     assertThat(decision.reason()).isEqualTo(RoutingReason.REPLICA_WAIT);
     assertThat(decision.server()).hasValue(near);
     assertThat(decision.waitFor()).hasValue(WRITTEN);
   }
 
   @Test
-  void primaryServesWhatNoReplicaCan() {
-    assertThat(decide(OWN_WRITE, group, 1, at(near, 9, 5_000)).reason())
+  void primaryServesReadsThatNoReplicaCan() {
+    assertThat(decide(OWN_WRITE, group, 1, candidate(near, 9, 5_000)).reason())
         .isEqualTo(RoutingReason.PRIMARY_REPLICAS_BEHIND);
     assertThat(decide(OWN_WRITE, group, 1).reason())
         .isEqualTo(RoutingReason.PRIMARY_REPLICAS_UNKNOWN);
-    assertThat(decide(ReadDemand.PRIMARY, group, 1, at(near, 60, 0)).reason())
+    assertThat(decide(ReadDemand.PRIMARY, group, 1, candidate(near, 60, 0)).reason())
         .isEqualTo(RoutingReason.PRIMARY_DEMANDED);
-    assertThat(decide(ReadDemand.session(folded()), group, 1, at(near, 60, 0)).reason())
+    assertThat(decide(ReadDemand.session(primaryOnly()), group, 1, candidate(near, 60, 0)).reason())
         .isEqualTo(RoutingReason.PRIMARY_SESSION_FOLDED);
     assertThat(
-            decide(ReadDemand.bounded(100 * MILLI, Requirement.NONE), group, 1, at(near, 60, 200))
+            decide(ReadDemand.bounded(100 * MILLI, Requirement.NONE), group, 1, candidate(near, 60, 200))
                 .reason())
         .isEqualTo(RoutingReason.PRIMARY_REPLICAS_BEHIND);
   }
 
   /**
-   * A bulk load leaves every replica 5 s behind, and all session reads turn to the primary. With no
-   * room kept for writes the packing floor would stand still: what is too much is refused at once,
-   * as not run, with the time when a replica will have caught up.
+   * A bulk load leaves every replica 5 s behind, so all session reads would go to the primary and
+   * leave no capacity for writes. Reads beyond the capacity must be rejected immediately with
+   * outcome {@code NOT_RUN} and the time until a replica catches up.
    */
   @Test
   void primaryIsProtectedWhenEveryReplicaIsFarBehind() {
-    RoutingDecision decision = decide(OWN_WRITE, group, 0, at(near, 9, 5_000), at(far, 9, 3_000));
+    RoutingDecision decision = decide(OWN_WRITE, group, 0, candidate(near, 9, 5_000), candidate(far, 9, 3_000));
     assertThat(decision.reason()).isEqualTo(RoutingReason.REFUSED_PRIMARY_BUSY);
     AlderyardException error = assertThrows(AlderyardException.class, decision::serverOrThrow);
     assertThat(error.code()).isEqualTo(ErrorCode.OVERLOADED);
     assertThat(error.outcome()).isEqualTo(Outcome.NOT_RUN);
     assertThat(error.retryAfterMillis().getAsLong()).isEqualTo(3_001);
-    assertThat(decide(OWN_WRITE, group, 0, at(near, 9, 800)).reason())
+    assertThat(decide(OWN_WRITE, group, 0, candidate(near, 9, 800)).reason())
         .isEqualTo(RoutingReason.REPLICA_WAIT_PRIMARY_BUSY);
   }
 
   @Test
-  void leavingAndExpiredServersGetNoReads() {
-    ServerState leaving = server("s2", OWN, ServerStatus.LEAVING);
-    ServerState expired = server("s3", OTHER, ServerStatus.EXPIRED);
-    assertThat(decide(ReadDemand.ANY, group, 1, at(leaving, 60, 0), at(expired, 60, 0)).reason())
+  void leavingAndExpiredServersReceiveNoReads() {
+    ServerState leaving = server("s2", OWN_ZONE, ServerStatus.LEAVING);
+    ServerState expired = server("s3", OTHER_ZONE, ServerStatus.EXPIRED);
+    assertThat(decide(ReadDemand.ANY, group, 1, candidate(leaving, 60, 0), candidate(expired, 60, 0)).reason())
         .isEqualTo(RoutingReason.PRIMARY_REPLICAS_UNKNOWN);
     GroupState failover = new GroupState(GROUP, 1, Optional.empty(), List.of(), 2, 40);
-    RoutingDecision none =
+    RoutingDecision refused =
         router.decide(
             new ReadRequest(
                 failover,
-                List.of(at(leaving, 60, 0)),
+                List.of(candidate(leaving, 60, 0)),
                 ReadDemand.ANY,
                 OptionalLong.empty(),
                 1,
                 NOW,
                 MILLI));
-    assertThat(none.reason()).isEqualTo(RoutingReason.REFUSED_NO_SERVER);
+    assertThat(refused.reason()).isEqualTo(RoutingReason.REFUSED_NO_SERVER);
   }
 
   @Test
-  void replicasServeWhileFailoverRuns() {
+  void replicasServeReadsDuringFailover() {
     GroupState failover = new GroupState(GROUP, 1, Optional.empty(), List.of(), 2, 40);
-    assertThat(decide(OWN_WRITE, failover, 0, at(near, 55, 100)).reason())
+    assertThat(decide(OWN_WRITE, failover, 0, candidate(near, 55, 100)).reason())
         .isEqualTo(RoutingReason.REPLICA_FRESH);
-    RoutingDecision behind =
+    RoutingDecision refusedRead =
         router.decide(
             new ReadRequest(
                 failover,
-                List.of(at(near, 9, 5_000)),
+                List.of(candidate(near, 9, 5_000)),
                 OWN_WRITE,
                 OptionalLong.of(NOW),
                 1,
                 NOW,
                 2_000 * MILLI));
-    assertThat(behind.reason()).isEqualTo(RoutingReason.REFUSED_NO_PRIMARY);
+    assertThat(refusedRead.reason()).isEqualTo(RoutingReason.REFUSED_NO_PRIMARY);
   }
 
   /**
-   * Eight of twelve proxies stand in a zone with one replica, the other replica is elsewhere. A
-   * strict preference would send two thirds of all reads to the small zone's replica and queue them
-   * there while the other one idles.
+   * Eight of twelve proxies are in a zone with one replica, and the other replica is in another
+   * zone. A strict zone preference would send two thirds of all reads to the first replica and
+   * queue them there while the second one is idle.
    */
   @Test
   void zonePreferenceDoesNotOverloadSmallZone() {
@@ -179,7 +180,7 @@
     Map<ServerState, Integer> served = new HashMap<>();
     List<ServerChooser> choosers = new ArrayList<>();
     for (int i = 0; i < proxies; i++) {
-      ZoneName zone = i < inOwnZone ? OWN : OTHER;
+      ZoneName zone = i < inOwnZone ? OWN_ZONE : OTHER_ZONE;
       choosers.add(new ServerChooser(zone, 1.5, new SplittableRandom(i)));
     }
     int[][] outstanding = new int[proxies][2];
@@ -191,9 +192,9 @@
       ServerState chosen = choosers.get(proxy).choose(List.of(toNear, toFar)).server();
       outstanding[proxy][chosen == near ? 0 : 1]++;
       served.merge(chosen, 1, Integer::sum);
-      int done = random.nextInt(proxies);
+      int completing = random.nextInt(proxies);
       for (int replica = 0; replica < 2; replica++) {
-        outstanding[done][replica] = Math.max(0, outstanding[done][replica] - 1);
+        outstanding[completing][replica] = Math.max(0, outstanding[completing][replica] - 1);
       }
     }
     double share = served.get(near) / 40_000.0;
@@ -207,11 +208,11 @@
   }
 
   /**
-   * A switch fault makes every server of the group fail at once. Ejecting all of them would turn a
-   * hiccup into an outage of the ejection's length: at most half are ejected.
+   * A network fault makes every server of the group fail at the same time. Ejecting all of them
+   * would extend a short fault to the whole ejection time, so at most half are ejected.
    */
   @Test
-  void ejectionStopsAtItsCapAndEndsWithSlowStart() {
+  void ejectionIsCappedAndEndsWithSlowStart() {
     PausedClock clock = new PausedClock();
     ServerLoads loads = new ServerLoads(clock);
     TreeSet<ServerId> ejected = new TreeSet<>();
@@ -221,7 +222,7 @@
     for (int i = 0; i < 50; i++) {
       for (ServerState server : List.of(near, far, primary)) {
         loads.begin(server);
-        if (loads.fail(server)) {
+        if (loads.recordFailure(server)) {
           ejected.add(server.id());
         }
       }
@@ -237,17 +238,17 @@
   }
 
   /**
-   * A server restarts while five statements run there. Their ends must not be booked on the new
-   * start: its count would go below zero and draw all reads to it.
+   * A server restarts while statements run on it. Their completions must not count for the new
+   * incarnation: its outstanding count would become negative and attract all reads.
    */
   @Test
-  void workOfAnEarlierStartIsNotCountedAtTheNewOne() {
+  void statementsOfEarlierIncarnationAreNotCounted() {
     ServerLoads loads = new ServerLoads(new PausedClock());
     loads.begin(near);
     ServerState restarted =
         new ServerState(near.id(), 2, GROUP, near.zone(), near.address(), ServerStatus.ACTIVE);
     loads.begin(restarted);
-    loads.succeed(near, MILLI);
+    loads.recordSuccess(near, MILLI);
     assertThat(loads.of(restarted, 2).outstanding()).isEqualTo(1);
   }
 }
