--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadAnswer.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadAnswer.java
@@ -6,17 +6,17 @@
 import org.alderyard.common.view.ServerState;
 
 /**
- * The checked answer to a read.
+ * An answer to a read that satisfies the freshness that the read requires.
  *
- * @param answer what the server answered
+ * @param answer the answer of the server
  * @param server the server
- * @param replica whether it was a replica
- * @param ageMillis an age that the data does not exceed; empty for the primary or if not known
+ * @param replica whether the server is a replica
+ * @param ageMillis an upper bound for the age of the data; empty for the primary or if unknown
  */
 public record ReadAnswer(
     BackendAnswer answer, ServerState server, boolean replica, OptionalLong ageMillis) {
 
-  /** Checks. */
+  /** Rejects null components. */
   public ReadAnswer {
     Objects.requireNonNull(answer);
     Objects.requireNonNull(server);
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadMetrics.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadMetrics.java
@@ -12,10 +12,10 @@
 import org.alderyard.proxy.routing.RoutingReason;
 
 /**
- * The metrics of reads and limits.
+ * Metrics of reads and of the limiters of backend servers.
  *
- * <p>Labels are modes and reasons only, 4 by 10 at most: pools, groups and callers are not labels,
- * since their number grows with the users.
+ * <p>Labels are only modes and reasons, with at most 4 by 10 combinations. Pools, groups and
+ * callers are not used as labels, because their number grows with the number of users.
  */
 public final class ReadMetrics {
   private final PrometheusRegistry registry;
@@ -24,9 +24,9 @@
   private final Counter ejections;
   private final Counter staleAnswers;
   private final Counter resends;
-  private final Histogram age;
+  private final Histogram ageBound;
 
-  /** Registers the metrics. */
+  /** Registers the counters and the histogram with the registry. */
   public ReadMetrics(PrometheusRegistry registry) {
     this.registry = registry;
     decisions =
@@ -45,7 +45,7 @@
     staleAnswers =
         counter("alderyard_stale_answers", "Answers that were older than demanded and dropped.");
     resends = counter("alderyard_read_resends", "Reads that were sent again after a failure.");
-    age =
+    ageBound =
         Histogram.builder()
             .name("alderyard_replica_age_bound")
             .unit(Unit.SECONDS)
@@ -59,8 +59,8 @@
     return Counter.builder().name(name).help(help).register(registry);
   }
 
-  /** Adds the gauges of the gates. */
-  public void watch(Gates gates) {
+  /** Registers the gauges of the limiters. */
+  public void registerGauges(Gates gates) {
     gauge("alderyard_statements_queued", "Statements that wait for a server.", gates::queued);
     gauge("alderyard_statements_in_flight", "Statements that run at servers.", gates::inFlight);
   }
@@ -73,32 +73,32 @@
         .register(registry);
   }
 
-  void decided(FreshnessMode mode, RoutingReason reason) {
-    decisions.labelValues(lower(mode), lower(reason)).inc();
+  void recordDecision(FreshnessMode mode, RoutingReason reason) {
+    decisions.labelValues(lowerCaseName(mode), lowerCaseName(reason)).inc();
   }
 
-  /** Counts a refusal of a gate. */
-  public void refused(RefusalReason reason) {
-    refusals.labelValues(lower(reason)).inc();
+  /** Counts a statement that a limiter rejected. */
+  public void recordRefusal(RefusalReason reason) {
+    refusals.labelValues(lowerCaseName(reason)).inc();
   }
 
-  void ejected() {
+  void recordEjection() {
     ejections.inc();
   }
 
-  void staleAnswer() {
+  void recordStaleAnswer() {
     staleAnswers.inc();
   }
 
-  void resent() {
+  void recordResend() {
     resends.inc();
   }
 
-  void answeredWithAge(long millis) {
-    age.observe(millis / 1000.0);
+  void recordAge(long millis) {
+    ageBound.observe(millis / 1000.0);
   }
 
-  private static String lower(Enum<?> value) {
+  private static String lowerCaseName(Enum<?> value) {
     return value.name().toLowerCase(Locale.ROOT);
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadOptions.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadOptions.java
@@ -4,17 +4,18 @@
 import java.util.Objects;
 
 /**
- * How reads are routed and limited.
+ * Options for routing and limiting reads.
  *
- * @param waitBudget how long a session read may wait for a replica before it goes to the primary
- * @param queuePerServer the statements that wait for one server, at most
- * @param routingLogSample of how many routing decisions one is logged; refusals are always logged
+ * @param waitBudget the maximum time that a session read waits for a replica before it goes to the
+ *     primary
+ * @param queuePerServer the maximum number of statements that are queued for one server
+ * @param routingLogSample logs one of this many routing decisions; refusals are always logged
  */
 public record ReadOptions(Duration waitBudget, int queuePerServer, int routingLogSample) {
-  /** What holds unless the settings say otherwise. */
+  /** The defaults for options that are not set. */
   public static final ReadOptions DEFAULT = new ReadOptions(Duration.ofMillis(300), 64, 1);
 
-  /** Checks. */
+  /** Rejects null components. */
   public ReadOptions {
     Objects.requireNonNull(waitBudget);
   }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadPath.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadPath.java
@@ -35,16 +35,17 @@
 import org.alderyard.proxy.routing.ServerLoads;
 
 /**
- * Answers reads: routes, waits, runs, checks the answer, and routes again if need be.
+ * Runs reads: routes a read, waits for the replica if necessary, runs the statement, checks the
+ * answer and routes the read again if the answer is not usable.
  *
- * <p>The answer names the position that it shows, and is checked against the demand again: what the
- * router knew may have been wrong, as after a restore of a server from a backup. An answer that is
- * too old is dropped and the read goes to the primary.
+ * <p>Each answer contains the position that it reflects, which is checked against the demand of the
+ * read. The state that the router used may be wrong, for example after a server was restored from a
+ * backup. An answer that is too old is dropped, and the read goes to the primary.
  */
 public final class ReadPath {
   private static final int MAX_ATTEMPTS = 3;
   private static final long NANOS_PER_MILLI = 1_000_000;
-  private static final long REPLACED_RETRY_MILLIS = 200;
+  private static final long STALE_ANSWER_RETRY_MILLIS = 200;
 
   private final MonotonicClock clock;
   private final FreshnessTable freshness;
@@ -58,7 +59,7 @@
   private final RetryBudget resends =
       new RetryBudget(RetryBudget.DEFAULT_SHARE, RetryBudget.DEFAULT_SAVED);
 
-  /** Creates the path. */
+  /** Creates a path that logs one of {@code routingLogSample} routing decisions. */
   public ReadPath(
       MonotonicClock clock,
       FreshnessTable freshness,
@@ -81,14 +82,17 @@
   }
 
   /**
-   * Answers a read.
+   * Runs a read.
    *
-   * @param view the view that the whole read is routed by
-   * @param group the group of the read in this view
-   * @param flow whose read it is
-   * @param demand what it demands of the data
-   * @param statement what to run
-   * @param timeout how long the caller waits
+   * @param view the view that all attempts of the read are routed by
+   * @param group the group of the read, in this view
+   * @param flow the flow that the read belongs to
+   * @param demand the freshness that the read requires
+   * @param statement the statement to run
+   * @param timeout the time until the caller's deadline
+   * @return a future of the answer
+   * @throws AlderyardException with outcome {@code NOT_RUN} if the first routing decision is a
+   *     refusal
    */
   public CompletableFuture<ReadAnswer> run(
       View view,
@@ -99,40 +103,41 @@
       Duration timeout) {
     resends.firstTry();
     long deadlineNanos = clock.nowNanos() + timeout.toNanos();
-    Read read = new Read(view, group, flow, demand, statement, deadlineNanos);
+    ReadState read = new ReadState(view, group, flow, demand, statement, deadlineNanos);
     return attempt(read, demand);
   }
 
-  private CompletableFuture<ReadAnswer> attempt(Read read, ReadDemand routedBy) {
+  private CompletableFuture<ReadAnswer> attempt(ReadState read, ReadDemand demand) {
     read.attempts++;
-    GroupFreshness known = freshness.group(read.group.id());
+    GroupFreshness groupFreshness = freshness.group(read.group.id());
     long now = clock.nowNanos();
     RoutingDecision decision =
         router.decide(
             new ReadRequest(
                 read.group,
-                candidates(read, known),
-                routedBy,
-                known.reachedBy(routedBy.requirement().position()),
+                candidates(read, groupFreshness),
+                demand,
+                groupFreshness.reachedBy(demand.requirement().position()),
                 primaryReadCapacity(read.group),
                 now,
                 Math.max(0, read.deadlineNanos - now)));
-    routingLog.write(read.flow.pool(), read.group.id(), routedBy, decision);
-    metrics.decided(routedBy.mode(), decision.reason());
+    routingLog.write(read.flow.pool(), read.group.id(), demand, decision);
+    metrics.recordDecision(demand.mode(), decision.reason());
     ServerState server = decision.serverOrThrow();
     if (decision.waitFor().isEmpty()) {
       return send(read, server, decision.reason().replica());
     }
-    return waitThenSend(read, server, decision, known);
+    return waitThenSend(read, server, decision, groupFreshness);
   }
 
-  private List<Candidate> candidates(Read read, GroupFreshness known) {
+  private List<Candidate> candidates(ReadState read, GroupFreshness groupFreshness) {
     return read.view.serversOf(read.group.id()).stream()
         .map(
             server -> {
               ServerLoad load = loads.of(server, read.group.slotsPerServer());
-              ServerLoad seen = read.failed.contains(server.id()) ? load.asEjected() : load;
-              return new Candidate(server, seen, known.of(server.id()));
+              ServerLoad effectiveLoad =
+                  read.failedServers.contains(server.id()) ? load.asEjected() : load;
+              return new Candidate(server, effectiveLoad, groupFreshness.of(server.id()));
             })
         .toList();
   }
@@ -142,19 +147,20 @@
   }
 
   private CompletableFuture<ReadAnswer> waitThenSend(
-      Read read, ServerState server, RoutingDecision decision, GroupFreshness known) {
-    Position needed = decision.waitFor().orElseThrow();
-    CompletableFuture<Boolean> arrived =
-        positionWaits.await(server.id(), needed, Duration.ofNanos(decision.waitNanos()));
-    // It may have arrived between the decision and the wait.
-    known
+      ReadState read, ServerState server, RoutingDecision decision, GroupFreshness groupFreshness) {
+    Position required = decision.waitFor().orElseThrow();
+    CompletableFuture<Boolean> caughtUp =
+        positionWaits.await(server.id(), required, Duration.ofNanos(decision.waitNanos()));
+    // The server may have applied the position between the decision and the start of the wait.
+    groupFreshness
         .of(server.id())
         .ifPresent(fresh -> positionWaits.recordApplied(server.id(), fresh.applied()));
-    return arrived.thenCompose(
-        inTime -> inTime ? send(read, server, true) : attempt(read, ReadDemand.PRIMARY));
+    return caughtUp.thenCompose(
+        appliedInTime ->
+            appliedInTime ? send(read, server, true) : attempt(read, ReadDemand.PRIMARY));
   }
 
-  private CompletableFuture<ReadAnswer> send(Read read, ServerState server, boolean replica) {
+  private CompletableFuture<ReadAnswer> send(ReadState read, ServerState server, boolean replica) {
     CompletableFuture<ReadAnswer> result = new CompletableFuture<>();
     runner
         .run(read.group, server, read.flow, read.statement, read.deadlineNanos)
@@ -164,13 +170,13 @@
                 CompletableFuture<ReadAnswer> next =
                     failure == null
                         ? check(read, server, replica, answer)
-                        : resendOrFail(read, server, failure);
+                        : retryOrFail(read, server, failure);
                 next.whenComplete(
-                    (checked, later) -> {
-                      if (later == null) {
-                        result.complete(checked);
+                    (checkedAnswer, laterFailure) -> {
+                      if (laterFailure == null) {
+                        result.complete(checkedAnswer);
                       } else {
-                        result.completeExceptionally(later);
+                        result.completeExceptionally(laterFailure);
                       }
                     });
               } catch (RuntimeException refused) {
@@ -181,15 +187,16 @@
   }
 
   private CompletableFuture<ReadAnswer> check(
-      Read read, ServerState server, boolean replica, BackendAnswer answer) {
-    GroupFreshness known = freshness.group(read.group.id());
-    known.recordAnswer(server.id(), server.incarnation(), answer.position());
-    OptionalLong age = replica ? ageMillis(known, answer.position()) : OptionalLong.empty();
-    if (goodEnough(read, replica, answer.position(), age)) {
-      age.ifPresent(metrics::answeredWithAge);
+      ReadState read, ServerState server, boolean replica, BackendAnswer answer) {
+    GroupFreshness groupFreshness = freshness.group(read.group.id());
+    groupFreshness.recordAnswer(server.id(), server.incarnation(), answer.position());
+    OptionalLong age =
+        replica ? ageMillis(groupFreshness, answer.position()) : OptionalLong.empty();
+    if (satisfiesDemand(read, replica, answer.position(), age)) {
+      age.ifPresent(metrics::recordAge);
       return CompletableFuture.completedFuture(new ReadAnswer(answer, server, replica, age));
     }
-    metrics.staleAnswer();
+    metrics.recordStaleAnswer();
     if (replica && read.attempts < MAX_ATTEMPTS) {
       return attempt(read, ReadDemand.PRIMARY);
     }
@@ -197,31 +204,31 @@
         ErrorCode.NO_PRIMARY,
         "server "
             + server.id()
-            + " shows position "
+            + " returned position "
             + answer.position()
-            + ", older than the session's "
+            + ", which is older than the session's position "
             + read.demand.requirement().position(),
-        REPLACED_RETRY_MILLIS);
+        STALE_ANSWER_RETRY_MILLIS);
   }
 
-  private OptionalLong ageMillis(GroupFreshness known, Position shown) {
-    OptionalLong asOf = known.freshAsOf(shown);
-    if (asOf.isEmpty()) {
+  private OptionalLong ageMillis(GroupFreshness groupFreshness, Position position) {
+    OptionalLong freshAsOf = groupFreshness.freshAsOf(position);
+    if (freshAsOf.isEmpty()) {
       return OptionalLong.empty();
     }
-    long nanos = Math.max(0, clock.nowNanos() - asOf.getAsLong());
+    long nanos = Math.max(0, clock.nowNanos() - freshAsOf.getAsLong());
     return OptionalLong.of((nanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI);
   }
 
-  private static boolean goodEnough(
-      Read read, boolean replica, Position shown, OptionalLong ageMillis) {
+  private static boolean satisfiesDemand(
+      ReadState read, boolean replica, Position position, OptionalLong ageMillis) {
     FreshnessMode mode = read.demand.mode();
     if (mode == FreshnessMode.ANY) {
       return true;
     }
     boolean covered =
-        EligibilityRule.covers(shown, read.demand.requirement().position())
-            && !read.group.lost(shown);
+        EligibilityRule.covers(position, read.demand.requirement().position())
+            && !read.group.lost(position);
     if (mode != FreshnessMode.BOUNDED || !replica) {
       return covered;
     }
@@ -231,42 +238,45 @@
             <= read.demand.maxStalenessNanos() + NANOS_PER_MILLI - 1;
   }
 
-  private CompletableFuture<ReadAnswer> resendOrFail(
-      Read read, ServerState server, Throwable failure) {
-    AlderyardException typed = Futures.typed(failure);
-    boolean worthAnother =
+  private CompletableFuture<ReadAnswer> retryOrFail(
+      ReadState read, ServerState server, Throwable failure) {
+    AlderyardException error = Futures.typed(failure);
+    boolean retry =
         read.attempts < MAX_ATTEMPTS
             && clock.nowNanos() < read.deadlineNanos
-            && anotherServerMayDo(typed.code())
+            && mayRetryOnAnotherServer(error.code())
             && resends.tryResend();
-    if (!worthAnother) {
-      return CompletableFuture.failedFuture(typed);
+    if (!retry) {
+      return CompletableFuture.failedFuture(error);
     }
-    metrics.resent();
-    read.failed.add(server.id());
+    metrics.recordResend();
+    read.failedServers.add(server.id());
     return attempt(read, read.demand);
   }
 
-  /** A read has no effect, so it may be sent again whatever became of it. */
-  private static boolean anotherServerMayDo(ErrorCode code) {
+  /**
+   * Returns whether a read that failed with the code may succeed on another server. A read has no
+   * side effects, so it may be sent again even if it may have run.
+   */
+  private static boolean mayRetryOnAnotherServer(ErrorCode code) {
     return code == ErrorCode.CONNECTION_LOST
         || code == ErrorCode.BACKEND_PROTOCOL
         || code == ErrorCode.NO_ELIGIBLE_SERVER
         || code == ErrorCode.OVERLOADED;
   }
 
-  /** One read over all its attempts; its callbacks run one after the other. */
-  private static final class Read {
+  /** The state of one read over all its attempts. Its callbacks never run concurrently. */
+  private static final class ReadState {
     final View view;
     final GroupState group;
     final Flow flow;
     final ReadDemand demand;
     final BackendStatement statement;
     final long deadlineNanos;
-    final Set<ServerId> failed = new HashSet<>();
+    final Set<ServerId> failedServers = new HashSet<>();
     int attempts;
 
-    Read(
+    ReadState(
         View view,
         GroupState group,
         Flow flow,
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadStack.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadStack.java
@@ -27,7 +27,7 @@
 import org.alderyard.proxy.routing.ServerLoads;
 import org.alderyard.proxy.view.ViewHolder;
 
-/** Puts the parts of the read path together and feeds them with views and measurements. */
+/** Assembles the read path and supplies it with views and measurements. */
 public final class ReadStack {
   private static final Duration SWEEP_INTERVAL = Duration.ofMillis(10);
 
@@ -39,9 +39,9 @@
   private final ReadPath path;
 
   /**
-   * Creates the parts and starts to follow the view and the monitor.
+   * Creates the read path and registers it as a listener of the views and of the monitor.
    *
-   * @param random a generator that several threads may use
+   * @param random a thread-safe random generator
    */
   public ReadStack(
       ReadOptions options,
@@ -62,11 +62,13 @@
             clock,
             (server, slots) ->
                 new LeasedSlots(
-                    slots, () -> allowance.allowed(server), () -> connections(views, server)),
+                    slots,
+                    () -> allowance.allowed(server),
+                    () -> connectionsPerServer(views, server)),
             options.queuePerServer(),
             workers,
-            (server, flow, reason) -> metrics.refused(reason));
-    metrics.watch(gates);
+            (server, flow, reason) -> metrics.recordRefusal(reason));
+    metrics.registerGauges(gates);
     runner = new ServerRunner(gates, loads, pools, clock, metrics);
     ServerChooser chooser =
         new ServerChooser(zone, ServerChooser.DEFAULT_OTHER_ZONE_FACTOR, random);
@@ -81,23 +83,23 @@
             new ReadRouter(chooser, options.waitBudget().toNanos()),
             metrics,
             options.routingLogSample());
-    follow(views.current());
-    views.onChange(this::follow);
-    monitor.onReport(this::measured);
+    onViewChanged(views.current());
+    views.onChange(this::onViewChanged);
+    monitor.onReport(this::onServerReport);
     workers.scheduleRepeatedly(SWEEP_INTERVAL, gates::sweep);
   }
 
-  /** Returns the path of reads. */
+  /** Returns the read path. */
   public ReadPath path() {
     return path;
   }
 
-  /** Returns the gates before the servers, for writes as well. */
+  /** Returns the limiters of the servers, which reads and writes share. */
   public Gates gates() {
     return gates;
   }
 
-  private static int connections(ViewHolder views, ServerId server) {
+  private static int connectionsPerServer(ViewHolder views, ServerId server) {
     View view = views.current();
     return view.server(server)
         .flatMap(state -> view.group(state.group()))
@@ -105,15 +107,15 @@
         .orElse(1);
   }
 
-  private void follow(View view) {
+  private void onViewChanged(View view) {
     freshness.updateView(view);
     loads.retainOnly(view.servers().keySet());
   }
 
-  private void measured(ServerState server, Optional<ServerObservation> observation) {
+  private void onServerReport(ServerState server, Optional<ServerObservation> observation) {
     observation.ifPresent(
-        seen -> {
-          ServerReport report = seen.report();
+        observed -> {
+          ServerReport report = observed.report();
           freshness
               .group(server.group())
               .observe(
@@ -124,8 +126,8 @@
                       report.role() == ServerRole.PRIMARY,
                       report.held(),
                       report.applied(),
-                      seen.askedNanos(),
-                      seen.receivedNanos()));
+                      observed.askedNanos(),
+                      observed.receivedNanos()));
           positionWaits.recordApplied(report.server(), report.applied());
         });
   }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/read/RoutingLog.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/read/RoutingLog.java
@@ -8,20 +8,20 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Writes a line for each routing decision, or for a sample with the count of those left out. */
+/** Logs routing decisions, or a sample of them with the number of skipped decisions. */
 final class RoutingLog {
   private static final Logger log = LoggerFactory.getLogger(RoutingLog.class);
 
   private final int sample;
-  private final AtomicLong leftOut = new AtomicLong();
+  private final AtomicLong skipped = new AtomicLong();
 
   RoutingLog(int sample) {
     this.sample = Math.max(1, sample);
   }
 
-  /** Writes the line of a decision; a refusal is never left out. */
+  /** Logs a decision unless the sample skips it. Refusals are always logged. */
   void write(PoolName pool, GroupId group, ReadDemand demand, RoutingDecision decision) {
-    if (!decision.reason().refused() && leftOut.incrementAndGet() < sample) {
+    if (!decision.reason().refused() && skipped.incrementAndGet() < sample) {
       return;
     }
     log.info(
@@ -35,6 +35,6 @@
         demand.requirement().position(),
         decision.waitNanos() / 1_000_000,
         decision.eligibleCount(),
-        Math.max(0, leftOut.getAndSet(0) - 1));
+        Math.max(0, skipped.getAndSet(0) - 1));
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ServerRunner.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ServerRunner.java
@@ -21,7 +21,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Runs one statement at one server: through its gate, on a connection, with its end booked. */
+/** Runs statements on a server: passes its limiter, takes a connection and records the result. */
 public final class ServerRunner {
   private static final Logger log = LoggerFactory.getLogger(ServerRunner.class);
 
@@ -31,7 +31,7 @@
   private final MonotonicClock clock;
   private final ReadMetrics metrics;
 
-  /** Creates a runner. */
+  /** Creates a runner for the given limiters and connection pools. */
   public ServerRunner(
       Gates gates,
       ServerLoads loads,
@@ -45,7 +45,12 @@
     this.metrics = Objects.requireNonNull(metrics);
   }
 
-  /** Runs a statement; one that was refused by the gate says {@code NOT_RUN}. */
+  /**
+   * Runs a statement on a server.
+   *
+   * @return a future of the answer; it fails with outcome {@code NOT_RUN} if the limiter of the
+   *     server rejects the statement
+   */
   public CompletableFuture<BackendAnswer> run(
       GroupState group,
       ServerState server,
@@ -58,8 +63,8 @@
     return gates
         .enter(server.id(), group.slotsPerServer(), primary, flow, write, deadlineNanos)
         .whenComplete(
-            (permit, refused) -> {
-              if (refused != null) {
+            (permit, refusal) -> {
+              if (refusal != null) {
                 loads.cancel(server);
               }
             })
@@ -76,15 +81,16 @@
           pools
               .take(server, connectTimeout)
               .thenCompose(
-                  connection -> onConnection(server, connection, statement, deadlineNanos));
+                  connection -> runOnConnection(server, connection, statement, deadlineNanos));
     } catch (RuntimeException failure) {
       result = CompletableFuture.failedFuture(failure);
     }
     return result.whenComplete(
-        (answer, failure) -> book(server, permit, clock.nowNanos() - startedNanos, failure));
+        (answer, failure) ->
+            recordResult(server, permit, clock.nowNanos() - startedNanos, failure));
   }
 
-  private CompletableFuture<BackendAnswer> onConnection(
+  private CompletableFuture<BackendAnswer> runOnConnection(
       ServerState server,
       ServerConnection connection,
       BackendStatement statement,
@@ -92,7 +98,7 @@
     long remainingNanos = deadlineNanos - clock.nowNanos();
     if (remainingNanos <= 0) {
       pools.release(server, connection);
-      // The connection took all of the time; the statement was not written to it.
+      // Waiting for the connection used up the time; the statement was not sent.
       throw AlderyardException.notRun(
           ErrorCode.DEADLINE_EXCEEDED, "the deadline passed before the statement was sent");
     }
@@ -101,28 +107,32 @@
         .whenComplete((answer, failure) -> pools.release(server, connection));
   }
 
-  private void book(ServerState server, Gates.Permit permit, long latencyNanos, Throwable failure) {
-    boolean refusedByServer =
+  private void recordResult(
+      ServerState server, Gates.Permit permit, long latencyNanos, Throwable failure) {
+    boolean rejectedByServer =
         failure != null && Futures.unwrap(failure) instanceof BackendException;
-    boolean busy = failure != null && Futures.typed(failure).code() == ErrorCode.OVERLOADED;
-    if (failure != null && !refusedByServer && withoutConnection(failure)) {
+    boolean overloaded = failure != null && Futures.typed(failure).code() == ErrorCode.OVERLOADED;
+    if (failure != null && !rejectedByServer && noConnectionAvailable(failure)) {
       permit.notSent();
       loads.cancel(server);
       return;
     }
-    permit.end(failure == null || refusedByServer && !busy);
-    if (failure == null || refusedByServer) {
+    permit.end(failure == null || rejectedByServer && !overloaded);
+    if (failure == null || rejectedByServer) {
       loads.recordSuccess(server, Math.max(1, latencyNanos));
       return;
     }
     if (loads.recordFailure(server)) {
-      metrics.ejected();
+      metrics.recordEjection();
       log.warn("event=eject server={} reason={}", server.id(), Futures.typed(failure).code());
     }
   }
 
-  /** This proxy had no connection to spare, which says nothing of the server. */
-  private static boolean withoutConnection(Throwable failure) {
+  /**
+   * Returns whether this proxy had no connection available, which doesn't affect the health of the
+   * server.
+   */
+  private static boolean noConnectionAvailable(Throwable failure) {
     ErrorCode code = Futures.typed(failure).code();
     return code == ErrorCode.OVERLOADED || code == ErrorCode.NO_ELIGIBLE_SERVER;
   }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/read/package-info.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/read/package-info.java
@@ -1,2 +1,2 @@
-/** The path of a read: from its demand over the routing decision to the checked answer. */
+/** The read path: routes reads, runs them on backend servers and checks the answers. */
 package org.alderyard.proxy.read;
