--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/view/KnownPools.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/view/KnownPools.java
@@ -8,36 +8,36 @@
 import org.alderyard.common.view.PoolState;
 import org.alderyard.common.view.View;
 
-/** The pools that callers may name. */
+/** Looks up the pools that callers name in their requests. */
 public final class KnownPools {
   private final BooleanSupplier viewConfirmed;
 
   /**
-   * Creates the look-up.
+   * Creates the lookup.
    *
-   * @param viewConfirmed whether the control hosts have confirmed this host's view of late
+   * @param viewConfirmed returns whether the control hosts have confirmed this host's view recently
    */
   public KnownPools(BooleanSupplier viewConfirmed) {
     this.viewConfirmed = Objects.requireNonNull(viewConfirmed);
   }
 
   /**
-   * Returns a pool.
+   * Returns a pool of the view.
    *
-   * @throws AlderyardException with {@code POOL_UNKNOWN} if there is none, or with {@code
-   *     VIEW_LEASE_EXPIRED} if it may have come since this host's view: that is not the caller's
-   *     fault, and another host may know it
+   * @throws AlderyardException with {@code POOL_UNKNOWN} if a confirmed view does not contain the
+   *     pool, or with {@code VIEW_LEASE_EXPIRED} if the view is not confirmed. The pool may then be
+   *     newer than the view, so the request may be valid and another host may serve it.
    */
   public PoolState require(View view, PoolName name) {
-    return view.pool(name).orElseThrow(() -> unknown(name));
+    return view.pool(name).orElseThrow(() -> unknownPool(name));
   }
 
-  private AlderyardException unknown(PoolName name) {
+  private AlderyardException unknownPool(PoolName name) {
     return viewConfirmed.getAsBoolean()
         ? AlderyardException.notRun(ErrorCode.POOL_UNKNOWN, "no pool '" + name + "' is known")
         : AlderyardException.notRun(
             ErrorCode.VIEW_LEASE_EXPIRED,
-            "this proxy has lost touch with the control hosts and does not know pool '"
+            "the control hosts have not confirmed this proxy's view, which does not contain pool '"
                 + name
                 + "'");
   }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/view/ViewClient.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/view/ViewClient.java
@@ -24,24 +24,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows the control hosts.
+ * Keeps this host's view up to date with the control hosts and renews the view lease.
  *
- * <p>Deltas come by long polls from any control host; heartbeats go to the leader, which confirms
- * the newest version and so the view lease.
+ * <p>Deltas are fetched by long polling from any control host. Heartbeats go to the leader, whose
+ * reply confirms the newest version and thereby extends the view lease.
  */
 public final class ViewClient implements AutoCloseable {
   private static final Logger log = LoggerFactory.getLogger(ViewClient.class);
-  private static final Duration WAIT = Duration.ofMillis(1_000);
+  private static final Duration POLL_WAIT = Duration.ofMillis(1_000);
 
-  /** What a control host may wait for a leader when a host looks for one; it asks all of them. */
-  private static final Duration LEADER_WAIT = Duration.ofMillis(200);
+  /**
+   * Poll wait of a fetch from the leader. The fetch asks one control host after the other, and each
+   * may wait this long for a leader.
+   */
+  private static final Duration LEADER_POLL_WAIT = Duration.ofMillis(200);
 
   private static final Duration CALL_TIMEOUT = Duration.ofMillis(2_000);
   private static final Duration RETRY_DELAY = Duration.ofMillis(100);
   private static final Duration HEARTBEAT_INTERVAL = Duration.ofMillis(750);
   private static final Duration HEARTBEAT_TIMEOUT = Duration.ofMillis(1_000);
   private static final long LEAVE_TIMEOUT_MILLIS = 300;
-  private static final long BEHIND_LIMIT_MILLIS = 500;
+  private static final long MAX_BEHIND_MILLIS = 500;
 
   private final ControlClient control;
   private final HostState self;
@@ -49,21 +52,22 @@
   private final WorkerPool workers;
   private final MonotonicClock clock;
   private final ViewLease lease = new ViewLease();
-  // The control host to fetch from, by its place in the list.
-  private final AtomicInteger source;
+  // Index of the control host to fetch from.
+  private final AtomicInteger sourceIndex;
   private final Object lock = new Object();
   // Guarded by lock.
   private ViewFollower follower = ViewFollower.EMPTY;
-  private boolean heartbeatOnItsWay;
-  private boolean heartbeatWanted;
-  // A host that lacks the start of the deltas gets the whole view, which only the leader gives.
+  private boolean heartbeatInFlight;
+  private boolean heartbeatPending;
+  // Set when the deltas that follow this host's version are not available: only the leader sends
+  // a whole view.
   private volatile boolean needsLeader;
   private final DependencyLog fetches = new DependencyLog(log, "view-fetch");
   private final DependencyLog heartbeats = new DependencyLog(log, "heartbeat");
-  private final List<Runnable> lapseListeners = new CopyOnWriteArrayList<>();
+  private final List<Runnable> leaseLapseListeners = new CopyOnWriteArrayList<>();
   private volatile boolean closed;
 
-  /** Creates a client that does nothing until {@link #start()}. */
+  /** Creates a client that sends nothing until {@link #start()}. */
   public ViewClient(
       ControlClient control,
       HostState self,
@@ -75,22 +79,22 @@
     this.holder = holder;
     this.workers = workers;
     this.clock = clock;
-    // Spreads the hosts over the control hosts.
-    this.source = new AtomicInteger(Math.floorMod(self.id().hashCode(), control.hostCount()));
+    // Spreads the fetches of all hosts over the control hosts.
+    this.sourceIndex = new AtomicInteger(Math.floorMod(self.id().hashCode(), control.hostCount()));
   }
 
   /**
-   * Starts to follow.
+   * Starts to fetch views and to send heartbeats.
    *
-   * <p>The first heartbeat goes out with the first view, or an interval later: before a leader is
-   * there it finds nobody, and keeps the control hosts from electing one.
+   * <p>The first heartbeat is sent after the first view arrives or after one interval. Heartbeats
+   * that are sent before a leader exists fail and keep the control hosts from electing one.
    */
   public void start() {
     workers.execute(this::fetch);
     workers.scheduleRepeatedly(HEARTBEAT_INTERVAL, this::heartbeat);
   }
 
-  /** Returns whether the view was confirmed recently enough to act on it. */
+  /** Returns whether the view lease is valid, so that this host may act on its view. */
   public boolean leaseValid() {
     return lease.valid(clock.nowMillis());
   }
@@ -101,14 +105,14 @@
     }
   }
 
-  /** Adds a listener that is told, before the lease holds again, that it had run out. */
+  /** Adds a listener that is notified of an expired lease before the lease becomes valid again. */
   public void onLeaseLapsed(Runnable listener) {
-    lapseListeners.add(listener);
+    leaseLapseListeners.add(listener);
   }
 
-  private void tellOfLapse() {
+  private void notifyIfLeaseLapsed() {
     if (!leaseValid()) {
-      lapseListeners.forEach(Runnable::run);
+      leaseLapseListeners.forEach(Runnable::run);
     }
   }
 
@@ -121,13 +125,13 @@
         FetchViewRequest.newBuilder()
             .setRunning(StateCodec.versionMessage(before.view().version()))
             .setChainHash(before.chainHash())
-            .setWaitMillis((int) (needsLeader ? LEADER_WAIT : WAIT).toMillis())
+            .setWaitMillis((int) (needsLeader ? LEADER_POLL_WAIT : POLL_WAIT).toMillis())
             .build();
-    int place = source.get();
+    int index = sourceIndex.get();
     CompletableFuture<FetchViewReply> fetched =
         needsLeader
             ? control.callIdempotent(ControlMethods.FETCH_VIEW, request, CALL_TIMEOUT)
-            : control.callHost(place, ControlMethods.FETCH_VIEW, request, CALL_TIMEOUT);
+            : control.callHost(index, ControlMethods.FETCH_VIEW, request, CALL_TIMEOUT);
     fetched.whenComplete(
         (reply, failure) -> {
           if (failure == null && accept(reply)) {
@@ -145,12 +149,12 @@
             }
           }
           needsLeader = false;
-          source.compareAndSet(place, place + 1);
+          sourceIndex.compareAndSet(index, index + 1);
           workers.schedule(RETRY_DELAY, this::fetch);
         });
   }
 
-  /** Returns whether the source is good to go on with. */
+  /** Applies a reply. Returns whether to keep fetching from the same control host. */
   private boolean accept(FetchViewReply reply) {
     ViewFollower.Result result;
     synchronized (lock) {
@@ -161,8 +165,8 @@
       follower = result.follower();
     }
     if (holder.offer(result.follower().view())) {
-      tellOfLapse();
-      lease.runs(holder.current().version());
+      notifyIfLeaseLapsed();
+      lease.recordRunning(holder.current().version());
       log.info("event=view-changed version={}", holder.current().version());
       workers.execute(this::heartbeat);
     }
@@ -171,7 +175,7 @@
         return true;
       }
       case NOTHING_NEW -> {
-        return !reply.hasSnapshot() && !behindForLong();
+        return !reply.hasSnapshot() && !behindTooLong();
       }
       default -> {
         log.warn(
@@ -184,38 +188,40 @@
   }
 
   /**
-   * Guards against a source that is cut off from the leader: it answers, but has nothing new. A
-   * newer version that the leader told of and that does not come means another source.
+   * Returns whether a version that the leader has reported is overdue.
+   *
+   * <p>A control host that is partitioned from the leader answers without ever sending a newer
+   * version. This check makes the client switch to another control host.
    */
-  private boolean behindForLong() {
-    var behind = lease.behindMillis(clock.nowMillis());
-    return behind.isPresent() && behind.getAsLong() > BEHIND_LIMIT_MILLIS;
+  private boolean behindTooLong() {
+    var behindMillis = lease.behindMillis(clock.nowMillis());
+    return behindMillis.isPresent() && behindMillis.getAsLong() > MAX_BEHIND_MILLIS;
   }
 
   /**
-   * Sends a heartbeat, or one after that which is on its way.
+   * Sends a heartbeat, or schedules one to follow the heartbeat in flight.
    *
-   * <p>Guards against a leader that is slow: a heartbeat for each new view on top of those without
-   * an answer would make it slower still. The next one tells the newest version in any case.
+   * <p>At most one heartbeat is in flight, because additional heartbeats for each new view would
+   * slow down an overloaded leader further. The next heartbeat reports the newest version anyway.
    */
   private void heartbeat() {
     synchronized (lock) {
-      heartbeatWanted = heartbeatOnItsWay;
-      if (closed || heartbeatOnItsWay) {
+      heartbeatPending = heartbeatInFlight;
+      if (closed || heartbeatInFlight) {
         return;
       }
-      heartbeatOnItsWay = true;
+      heartbeatInFlight = true;
     }
-    // The lease counts from before the request: the answer may have been long on its way.
+    // The lease starts before the request is sent, because the reply may be delayed.
     long sentMillis = clock.nowMillis();
-    send(false).whenComplete((reply, failure) -> heartbeatDone(sentMillis, reply, failure));
+    send(false).whenComplete((reply, failure) -> onHeartbeatReply(sentMillis, reply, failure));
   }
 
-  private void heartbeatDone(long sentMillis, HeartbeatReply reply, Throwable failure) {
+  private void onHeartbeatReply(long sentMillis, HeartbeatReply reply, Throwable failure) {
     if (failure == null) {
       heartbeats.worked();
-      tellOfLapse();
-      lease.confirmed(
+      notifyIfLeaseLapsed();
+      lease.recordConfirmation(
           StateCodec.version(reply.getCurrent()),
           sentMillis,
           reply.getLeaseMillis(),
@@ -223,12 +229,12 @@
     } else {
       heartbeats.failed(Futures.typed(failure));
     }
-    boolean again;
+    boolean sendAnother;
     synchronized (lock) {
-      heartbeatOnItsWay = false;
-      again = heartbeatWanted;
+      heartbeatInFlight = false;
+      sendAnother = heartbeatPending;
     }
-    if (again) {
+    if (sendAnother) {
       workers.execute(this::heartbeat);
     }
   }
@@ -248,11 +254,11 @@
     closed = true;
     try {
       send(true).get(LEAVE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
-    } catch (InterruptedException stopped) {
+    } catch (InterruptedException interrupted) {
       Thread.currentThread().interrupt();
-    } catch (Exception unreachable) {
-      // The leader forgets this host when its lease runs out.
-      log.info("event=leave-failed reason=\"{}\"", Futures.unwrap(unreachable).toString());
+    } catch (Exception failure) {
+      // The leader removes this host when the host's lease expires.
+      log.info("event=leave-failed reason=\"{}\"", Futures.unwrap(failure).toString());
     }
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/view/ViewHolder.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/view/ViewHolder.java
@@ -6,36 +6,36 @@
 import java.util.function.Consumer;
 import org.alderyard.common.view.View;
 
-/** The view that this process acts on; it only goes forward. */
+/** Holds the current view of this process. Its version only increases. Thread-safe. */
 public final class ViewHolder {
   private final AtomicReference<View> current = new AtomicReference<>(View.EMPTY);
   private final List<Consumer<View>> listeners = new CopyOnWriteArrayList<>();
 
-  /** Returns the view to act on. */
+  /** Returns the current view, which is {@link View#EMPTY} before the first one is received. */
   public View current() {
     return current.get();
   }
 
-  /** Adds a listener for each newer view. */
+  /** Adds a listener that is called with each newer view. */
   public void onChange(Consumer<View> listener) {
     listeners.add(listener);
   }
 
   /**
-   * Takes a view if it is newer.
+   * Replaces the current view if the given one has a greater version.
    *
-   * <p>Guards against an answer of a host that was cut off and still hands out an old view: it
-   * would bring back a replaced primary. Only a greater version is taken.
+   * <p>A control host that was partitioned may still send an old view, which would restore a
+   * replaced primary.
    *
-   * @return whether the view was taken
+   * @return whether the current view was replaced
    */
   public boolean offer(View next) {
     while (true) {
-      View before = current.get();
-      if (next.version().compareTo(before.version()) <= 0) {
+      View previous = current.get();
+      if (next.version().compareTo(previous.version()) <= 0) {
         return false;
       }
-      if (current.compareAndSet(before, next)) {
+      if (current.compareAndSet(previous, next)) {
         listeners.forEach(listener -> listener.accept(next));
         return true;
       }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/view/ViewLease.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/view/ViewLease.java
@@ -4,22 +4,24 @@
 import org.alderyard.common.view.ViewVersion;
 
 /**
- * Until when this host may act on its view.
+ * The lease during which this host may act on its view.
  *
- * <p>A heartbeat's answer names the newest version at a time not before the heartbeat was sent. A
- * host that runs that version has the lease, counted from the sending, since the answer may have
- * been long on its way. A host that lags gets it only once it has caught up with that version.
+ * <p>The reply to a heartbeat contains a version that was the newest at some time after the
+ * heartbeat was sent. A host that runs this version holds the lease from the time at which it sent
+ * the heartbeat, because the reply may be delayed. A host that lags behind obtains the lease only
+ * when it has caught up with this version.
  */
 final class ViewLease {
   private long endMillis = Long.MIN_VALUE;
   private ViewVersion running = ViewVersion.NONE;
-  // What the last answer asked for beyond the running version; its end, and since when.
-  private ViewVersion wanted = ViewVersion.NONE;
-  private long wantedEndMillis = Long.MIN_VALUE;
+  // The version that a reply confirmed and this host does not run yet, the end of the lease that
+  // the version grants, and the time since which this host lags.
+  private ViewVersion pending = ViewVersion.NONE;
+  private long pendingEndMillis = Long.MIN_VALUE;
   private long behindSinceMillis;
 
-  /** Takes the answer to a heartbeat. */
-  synchronized void confirmed(
+  /** Records the reply to a heartbeat. */
+  synchronized void recordConfirmation(
       ViewVersion current, long sentMillis, long leaseMillis, long nowMillis) {
     if (current.compareTo(running) <= 0) {
       endMillis = Math.max(endMillis, sentMillis + leaseMillis);
@@ -28,33 +30,33 @@
     if (!behind()) {
       behindSinceMillis = nowMillis;
     }
-    if (current.compareTo(wanted) > 0) {
-      // An earlier version that is still wanted confirms an earlier end: keep the later one only.
-      wanted = current;
-      wantedEndMillis = sentMillis + leaseMillis;
+    if (current.compareTo(pending) > 0) {
+      // An older pending version grants an earlier end: only the end of the newest one is kept.
+      pending = current;
+      pendingEndMillis = sentMillis + leaseMillis;
     } else {
-      wantedEndMillis = Math.max(wantedEndMillis, sentMillis + leaseMillis);
+      pendingEndMillis = Math.max(pendingEndMillis, sentMillis + leaseMillis);
     }
   }
 
-  /** Takes note of the version that this host acts on. */
-  synchronized void runs(ViewVersion version) {
+  /** Records the version that this host acts on. */
+  synchronized void recordRunning(ViewVersion version) {
     running = version;
     if (!behind()) {
-      endMillis = Math.max(endMillis, wantedEndMillis);
+      endMillis = Math.max(endMillis, pendingEndMillis);
     }
   }
 
   private boolean behind() {
-    return wanted.compareTo(running) > 0;
+    return pending.compareTo(running) > 0;
   }
 
-  /** Returns whether the lease has not run out. */
+  /** Returns whether the lease has not expired. */
   synchronized boolean valid(long nowMillis) {
     return nowMillis < endMillis;
   }
 
-  /** Returns for how long a newer version has been known without being received. */
+  /** Returns for how long a newer version has been known but not received; empty if none. */
   synchronized OptionalLong behindMillis(long nowMillis) {
     return behind() ? OptionalLong.of(nowMillis - behindSinceMillis) : OptionalLong.empty();
   }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/view/package-info.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/view/package-info.java
@@ -1,2 +1,2 @@
-/** The view that this proxy acts on, and how it follows the control hosts. */
+/** The view that this proxy acts on, and the client that receives it from the control hosts. */
 package org.alderyard.proxy.view;
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/view/KnownPoolsTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/view/KnownPoolsTest.java
@@ -10,7 +10,9 @@
 import org.alderyard.common.view.View;
 import org.junit.jupiter.api.Test;
 
-/** Guards against a 404 for a pool that only this proxy does not know, as it has no view yet. */
+/**
+ * Guards against a 404 for an existing pool: a proxy without a confirmed view may not know it yet.
+ */
 class KnownPoolsTest {
   private static AlderyardException unknown(boolean viewConfirmed) {
     KnownPools pools = new KnownPools(() -> viewConfirmed);
@@ -19,7 +21,7 @@
   }
 
   @Test
-  void proxyWithoutConfirmedViewSendsTheCallerToAnother() {
+  void proxyWithoutConfirmedViewReportsExpiredLease() {
     AlderyardException unknown = unknown(false);
 
     assertThat(unknown.code()).isEqualTo(ErrorCode.VIEW_LEASE_EXPIRED);
@@ -28,7 +30,7 @@
   }
 
   @Test
-  void proxyWhoseViewIsConfirmedSaysThatThereIsNone() {
+  void proxyWithConfirmedViewReportsUnknownPool() {
     assertThat(unknown(true).code()).isEqualTo(ErrorCode.POOL_UNKNOWN);
   }
 }
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/view/ViewLeaseTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/view/ViewLeaseTest.java
@@ -5,7 +5,7 @@
 import org.alderyard.common.view.ViewVersion;
 import org.junit.jupiter.api.Test;
 
-/** Until when a proxy may act on its view. */
+/** Tests how long a proxy may act on its view. */
 class ViewLeaseTest {
   private static final ViewVersion V1 = new ViewVersion(1, 1);
   private static final ViewVersion V2 = new ViewVersion(1, 2);
@@ -14,40 +14,40 @@
   private final ViewLease lease = new ViewLease();
 
   @Test
-  void leaseCountsFromTheSendingOfTheHeartbeat() {
+  void leaseStartsWhenHeartbeatIsSent() {
     assertThat(lease.valid(0)).isFalse();
-    lease.runs(V1);
-    lease.confirmed(V1, 100, LEASE_MILLIS, 900);
+    lease.recordRunning(V1);
+    lease.recordConfirmation(V1, 100, LEASE_MILLIS, 900);
     assertThat(lease.valid(3_099)).isTrue();
     assertThat(lease.valid(3_100)).isFalse();
   }
 
   /**
-   * A proxy reaches the leader, but its deltas come from a control host that is cut off. Ticket 2
-   * is accepted. The proxy must stop within a lease of that, although its heartbeats are answered:
-   * else the ticket would count as in force while the proxy acts on the old view.
+   * A proxy reaches the leader, but fetches its deltas from a control host that is partitioned when
+   * a ticket is accepted. The proxy must stop within one lease time although its heartbeats are
+   * answered. Otherwise the ticket would count as in force while the proxy acts on the old view.
    */
   @Test
-  void answeredHeartbeatsDoNotExtendLeaseOfHostThatLags() {
-    lease.runs(V1);
-    lease.confirmed(V1, 0, LEASE_MILLIS, 1);
-    lease.confirmed(V2, 1_000, LEASE_MILLIS, 1_001);
-    lease.confirmed(V2, 2_000, LEASE_MILLIS, 2_001);
+  void answeredHeartbeatsDoNotExtendLeaseOfLaggingHost() {
+    lease.recordRunning(V1);
+    lease.recordConfirmation(V1, 0, LEASE_MILLIS, 1);
+    lease.recordConfirmation(V2, 1_000, LEASE_MILLIS, 1_001);
+    lease.recordConfirmation(V2, 2_000, LEASE_MILLIS, 2_001);
 
     assertThat(lease.valid(3_000)).isFalse();
     assertThat(lease.behindMillis(2_501).getAsLong()).isEqualTo(1_500);
 
-    lease.runs(V2);
+    lease.recordRunning(V2);
     assertThat(lease.valid(4_999)).isTrue();
     assertThat(lease.valid(5_000)).isFalse();
     assertThat(lease.behindMillis(4_000).isPresent()).isFalse();
   }
 
   @Test
-  void lateAnswerOfEarlierHeartbeatShortensNothing() {
-    lease.runs(V2);
-    lease.confirmed(V2, 1_000, LEASE_MILLIS, 1_001);
-    lease.confirmed(V1, 0, LEASE_MILLIS, 1_500);
+  void lateReplyToEarlierHeartbeatDoesNotShortenLease() {
+    lease.recordRunning(V2);
+    lease.recordConfirmation(V2, 1_000, LEASE_MILLIS, 1_001);
+    lease.recordConfirmation(V1, 0, LEASE_MILLIS, 1_500);
     assertThat(lease.valid(3_999)).isTrue();
   }
 }
