--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/watch/PauseDetector.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/watch/PauseDetector.java
@@ -1,26 +1,26 @@
 package org.alderyard.proxy.watch;
 
 /**
- * Notices that this process stood still.
+ * Detects pauses of this process, such as stop-the-world collections or a stopped process.
  *
- * <p>Guards against a stop-the-world pause or a stopped process: on waking, every primary seems to
- * have been silent for the whole pause, and the watcher would suspect them all at once.
+ * <p>After a pause, every primary seems to have been unresponsive for its whole duration, and the
+ * watcher would suspect all of them at the same time.
  */
 final class PauseDetector {
   private final long tickMillis;
   private final long toleranceMillis;
-  private long lastMillis;
+  private long lastTickMillis;
 
   PauseDetector(long tickMillis, long toleranceMillis, long nowMillis) {
     this.tickMillis = tickMillis;
     this.toleranceMillis = toleranceMillis;
-    this.lastMillis = nowMillis;
+    this.lastTickMillis = nowMillis;
   }
 
-  /** Notes a tick; returns whether it came so late that this process must have been paused. */
-  boolean paused(long nowMillis) {
-    long lateMillis = nowMillis - lastMillis - tickMillis;
-    lastMillis = nowMillis;
+  /** Records a tick. Returns whether it is so late that this process must have been paused. */
+  boolean recordTick(long nowMillis) {
+    long lateMillis = nowMillis - lastTickMillis - tickMillis;
+    lastTickMillis = nowMillis;
     return lateMillis > toleranceMillis;
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/watch/PrimaryWatch.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/watch/PrimaryWatch.java
@@ -8,9 +8,9 @@
 import org.alderyard.proxy.watch.WatchVerdict.Reason;
 
 /**
- * What one watcher knows of one primary in one term; it does no I/O and reads no clock.
+ * Failure detector for one primary in one term. It performs no I/O and reads no clock.
  *
- * <p>Not safe for use by several threads; the shell's lock guards it.
+ * <p>Not thread-safe; {@link WatcherService} guards each instance by its lock.
  */
 public final class PrimaryWatch {
   private final GroupId group;
@@ -18,14 +18,14 @@
   private final ServerId primary;
   private final WatchOptions options;
   private final ResponseWindow responses = new ResponseWindow();
-  private final Deque<Long> outstandingSinceMillis = new ArrayDeque<>();
+  private final Deque<Long> outstandingSentMillis = new ArrayDeque<>();
   private long nextProbeMillis;
   private int failures;
-  private int losses;
+  private int roleLosses;
   private long suspectedSinceMillis;
   private boolean suspected;
 
-  /** Creates a watch that trusts the primary and probes it at once. */
+  /** Creates a watch that does not suspect the primary and whose first probe is due immediately. */
   public PrimaryWatch(
       GroupId group, long term, ServerId primary, WatchOptions options, long nowMillis) {
     this.group = group;
@@ -35,117 +35,131 @@
     this.nextProbeMillis = nowMillis;
   }
 
-  /** Returns the group. */
+  /** Returns the group of the primary. */
   public GroupId group() {
     return group;
   }
 
-  /** Returns the term that the primary is watched in. */
+  /** Returns the term in which the primary is watched. */
   public long term() {
     return term;
   }
 
-  /** Returns the primary. */
+  /** Returns the server that is watched. */
   public ServerId primary() {
     return primary;
   }
 
-  /** Returns for how long the primary has been suspected. */
+  /** Returns for how long the primary has been suspected; 0 if it is not suspected. */
   public long suspectedForMillis(long nowMillis) {
     return suspected ? nowMillis - suspectedSinceMillis : 0;
   }
 
-  /** Returns whether to send a probe now, and notes it as sent. */
-  public boolean takeProbe(long nowMillis, long paceMillis) {
-    if (nowMillis < nextProbeMillis || outstandingSinceMillis.size() >= options.maxOutstanding()) {
+  /**
+   * Returns whether a probe is due, and if so records it as sent.
+   *
+   * @param intervalMillis the probe interval while no urgent probes are needed
+   */
+  public boolean tryStartProbe(long nowMillis, long intervalMillis) {
+    if (nowMillis < nextProbeMillis || outstandingSentMillis.size() >= options.maxOutstanding()) {
       return false;
     }
-    outstandingSinceMillis.addLast(nowMillis);
+    outstandingSentMillis.addLast(nowMillis);
     boolean urgent = verdict(nowMillis).urgent();
-    nextProbeMillis = nowMillis + (urgent ? options.urgentProbeMillis() : paceMillis);
+    nextProbeMillis = nowMillis + (urgent ? options.urgentProbeMillis() : intervalMillis);
     return true;
   }
 
-  /** A caller's request to the primary failed: look at once, but judge by probes alone. */
+  /**
+   * Makes the next probe due immediately after a caller's request to the primary failed. The failed
+   * request itself does not count as a failure, because verdicts depend only on probes.
+   */
   public void requestFailed(long nowMillis) {
     nextProbeMillis = Math.min(nextProbeMillis, nowMillis);
   }
 
-  /** The primary answered a probe as the primary of its term. */
-  public void answered(long sentMillis, long nowMillis) {
+  /** Records an answer of the server as the primary of its term. */
+  public void recordAnswer(long sentMillis, long nowMillis) {
     responses.add(nowMillis - sentMillis);
-    settle(sentMillis);
+    removeUpTo(sentMillis);
     failures = 0;
-    losses = 0;
+    roleLosses = 0;
   }
 
-  /** The server answered, but is no primary of this term any more. */
-  public void lostRole(long sentMillis, long nowMillis) {
-    settle(sentMillis);
-    losses++;
-    hurry(nowMillis);
+  /** Records an answer of the server that is not the primary of this term any more. */
+  public void recordRoleLost(long sentMillis, long nowMillis) {
+    removeUpTo(sentMillis);
+    roleLosses++;
+    scheduleUrgentProbe(nowMillis);
   }
 
-  /** The connection was refused or broke. */
-  public void failed(long sentMillis, long nowMillis) {
-    outstandingSinceMillis.remove(sentMillis);
+  /** Records a probe whose connection was refused or lost. */
+  public void recordFailure(long sentMillis, long nowMillis) {
+    outstandingSentMillis.remove(sentMillis);
     failures++;
-    hurry(nowMillis);
+    scheduleUrgentProbe(nowMillis);
   }
 
-  /** No answer came in time: the time since the probe goes on to count as silence. */
-  public void timedOut(long sentMillis, long nowMillis) {
-    hurry(nowMillis);
-    if (!outstandingSinceMillis.isEmpty() && outstandingSinceMillis.peekFirst() != sentMillis) {
-      outstandingSinceMillis.remove(sentMillis);
+  /** Records a probe timeout. The time since the probe still counts as unanswered. */
+  public void recordTimeout(long sentMillis, long nowMillis) {
+    scheduleUrgentProbe(nowMillis);
+    if (!outstandingSentMillis.isEmpty() && outstandingSentMillis.peekFirst() != sentMillis) {
+      outstandingSentMillis.remove(sentMillis);
     }
   }
 
-  /** This process stood still: what it did not hear meanwhile says nothing of the primary. */
-  public void watcherPaused(long nowMillis) {
-    outstandingSinceMillis.clear();
+  /**
+   * Discards outstanding probes and failures after a pause of this process. Answers that were
+   * missed during the pause do not indicate a failure of the primary.
+   */
+  public void resetAfterPause(long nowMillis) {
+    outstandingSentMillis.clear();
     failures = 0;
-    losses = 0;
+    roleLosses = 0;
     nextProbeMillis = nowMillis;
   }
 
-  /** Returns what to think of the primary now. */
+  /** Evaluates the probe results and returns the verdict on the primary. */
   public WatchVerdict verdict(long nowMillis) {
-    Optional<Reason> suspicion = judge(nowMillis);
+    Optional<Reason> suspicion = suspicion(nowMillis);
     if (suspicion.isPresent() && !suspected) {
       suspectedSinceMillis = nowMillis;
     }
     suspected = suspicion.isPresent();
-    boolean late = waitedMillis(nowMillis) > options.lateMillis();
-    return new WatchVerdict(suspicion, suspected || late || failures > 0 || losses > 0);
+    boolean late = unansweredMillis(nowMillis) > options.lateMillis();
+    return new WatchVerdict(suspicion, suspected || late || failures > 0 || roleLosses > 0);
   }
 
-  private Optional<Reason> judge(long nowMillis) {
+  private Optional<Reason> suspicion(long nowMillis) {
     if (failures >= options.failuresToSuspect()) {
       return Optional.of(Reason.UNREACHABLE);
     }
-    if (losses >= options.failuresToSuspect()) {
+    if (roleLosses >= options.failuresToSuspect()) {
       return Optional.of(Reason.ROLE_LOST);
     }
-    long waitedMillis = waitedMillis(nowMillis);
-    double phi = responses.phi(waitedMillis, options.pauseMillis(), options.minDeviationMillis());
-    return waitedMillis > options.pauseMillis() && phi >= options.phiThreshold()
+    long unansweredMillis = unansweredMillis(nowMillis);
+    double phi =
+        responses.phi(unansweredMillis, options.pauseMillis(), options.minDeviationMillis());
+    return unansweredMillis > options.pauseMillis() && phi >= options.phiThreshold()
         ? Optional.of(Reason.SILENT)
         : Optional.empty();
   }
 
-  private long waitedMillis(long nowMillis) {
-    return outstandingSinceMillis.isEmpty() ? 0 : nowMillis - outstandingSinceMillis.peekFirst();
+  private long unansweredMillis(long nowMillis) {
+    return outstandingSentMillis.isEmpty() ? 0 : nowMillis - outstandingSentMillis.peekFirst();
   }
 
-  /** An answer to a probe shows that the server lived when it was sent, so older ones are moot. */
-  private void settle(long sentMillis) {
-    while (!outstandingSinceMillis.isEmpty() && outstandingSinceMillis.peekFirst() <= sentMillis) {
-      outstandingSinceMillis.removeFirst();
+  /**
+   * Removes the answered probe and all older ones: the server was running when the answered probe
+   * was sent.
+   */
+  private void removeUpTo(long sentMillis) {
+    while (!outstandingSentMillis.isEmpty() && outstandingSentMillis.peekFirst() <= sentMillis) {
+      outstandingSentMillis.removeFirst();
     }
   }
 
-  private void hurry(long nowMillis) {
+  private void scheduleUrgentProbe(long nowMillis) {
     nextProbeMillis = Math.min(nextProbeMillis, nowMillis + options.urgentProbeMillis());
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/watch/ResponseWindow.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/watch/ResponseWindow.java
@@ -1,42 +1,43 @@
 package org.alderyard.proxy.watch;
 
-/** The last response times of a server, and how improbable it makes a longer one. */
+/** Sliding window of response times that a phi accrual failure detector evaluates. */
 final class ResponseWindow {
   private static final int SIZE = 64;
-  // Coefficients of the usual logistic approximation of the normal distribution.
+  // Coefficients of the standard logistic approximation of the normal distribution.
   private static final double LINEAR = 1.5976;
   private static final double CUBIC = 0.070566;
 
-  private final long[] millis = new long[SIZE];
+  private final long[] responseTimesMillis = new long[SIZE];
   private int count;
   private int next;
 
   void add(long responseMillis) {
-    millis[next] = responseMillis;
+    responseTimesMillis[next] = responseMillis;
     next = (next + 1) % SIZE;
     count = Math.min(SIZE, count + 1);
   }
 
   /**
-   * Returns the negative decimal logarithm of the chance that an answer still comes.
+   * Returns phi, the negative decimal logarithm of the probability that an answer still arrives.
    *
-   * @param waitedMillis how long it has been waited for
-   * @param pauseMillis a pause that is allowed on top of the measured times
-   * @param minDeviationMillis guards against a deviation of 0 after equal response times
+   * @param unansweredMillis the time since the oldest unanswered probe
+   * @param pauseMillis a pause of the server that is tolerated in addition to the measured times
+   * @param minDeviationMillis the minimum standard deviation, since equal response times would
+   *     yield 0
    */
-  double phi(long waitedMillis, long pauseMillis, long minDeviationMillis) {
+  double phi(long unansweredMillis, long pauseMillis, long minDeviationMillis) {
     double mean = mean();
     double deviation = Math.max(minDeviationMillis, deviation(mean));
-    double y = (waitedMillis - pauseMillis - mean) / deviation;
-    double exponent = y * (LINEAR + CUBIC * y * y);
-    // log10(1 + e^x), which is x / ln 10 where e^x is too large for a double.
+    double z = (unansweredMillis - pauseMillis - mean) / deviation;
+    double exponent = z * (LINEAR + CUBIC * z * z);
+    // log10(1 + e^x), which is x / ln 10 where e^x overflows a double.
     return exponent > 500 ? exponent / Math.log(10) : Math.log10(1 + Math.exp(exponent));
   }
 
   private double mean() {
     double sum = 0;
     for (int i = 0; i < count; i++) {
-      sum += millis[i];
+      sum += responseTimesMillis[i];
     }
     return count == 0 ? 0 : sum / count;
   }
@@ -44,7 +45,7 @@
   private double deviation(double mean) {
     double sum = 0;
     for (int i = 0; i < count; i++) {
-      sum += (millis[i] - mean) * (millis[i] - mean);
+      sum += (responseTimesMillis[i] - mean) * (responseTimesMillis[i] - mean);
     }
     return count == 0 ? 0 : Math.sqrt(sum / count);
   }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/watch/WatchOptions.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/watch/WatchOptions.java
@@ -1,19 +1,20 @@
 package org.alderyard.proxy.watch;
 
 /**
- * The times and bounds of a watcher.
+ * Timing and limits of a watcher.
  *
- * @param minProbeMillis the shortest time between two probes of a healthy primary
- * @param urgentProbeMillis the time between two probes once one failed or is late
- * @param lateMillis how long an answer may take before probes become urgent
- * @param probeTimeoutMillis how long an answer is waited for
- * @param maxOutstanding how many probes of one primary may wait for an answer
- * @param pauseMillis how long a primary may stop without being suspected
- * @param minDeviationMillis the least deviation of response times that is assumed
- * @param phiThreshold how improbable a silence must be: 8 is one in 10^8
- * @param failuresToSuspect how many refusals in a row make a primary suspected
- * @param probeBytes what a probe and its answer take on the wire
- * @param budgetBytesPerSecond what all probes of this host may take while all is well
+ * @param minProbeMillis the minimum probe interval of a healthy primary
+ * @param urgentProbeMillis the probe interval after a probe failed or while an answer is late
+ * @param lateMillis the time without an answer after which probes become urgent
+ * @param probeTimeoutMillis the timeout of a probe
+ * @param maxOutstanding the maximum number of unanswered probes of one primary
+ * @param pauseMillis the duration of a pause of the primary that is tolerated
+ * @param minDeviationMillis the minimum standard deviation that is assumed for response times
+ * @param phiThreshold the phi value from which a primary is suspected; with 8, an answer still
+ *     arrives with a probability of 1 in 10^8
+ * @param failuresToSuspect the number of consecutive failures after which a primary is suspected
+ * @param probeBytes the size of a probe and its answer on the wire
+ * @param budgetBytesPerSecond the bandwidth budget for the probes of this host in steady state
  */
 public record WatchOptions(
     long minProbeMillis,
@@ -27,13 +28,13 @@
     int failuresToSuspect,
     int probeBytes,
     int budgetBytesPerSecond) {
-  /** What is used when the settings say nothing. */
+  /** The defaults for options that are not set. */
   public static final WatchOptions DEFAULT =
       new WatchOptions(100, 20, 100, 2_000, 4, 600, 10, 8.0, 3, 525, 3_000);
 
-  /** Returns the time between two probes of each of so many primaries, within the budget. */
-  public long probeMillis(int watched) {
-    long affordable = watched * (long) probeBytes * 1_000 / budgetBytesPerSecond;
-    return Math.max(minProbeMillis, affordable);
+  /** Returns the probe interval for the given number of primaries, within the bandwidth budget. */
+  public long probeMillis(int primaryCount) {
+    long intervalWithinBudget = primaryCount * (long) probeBytes * 1_000 / budgetBytesPerSecond;
+    return Math.max(minProbeMillis, intervalWithinBudget);
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/watch/WatchVerdict.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/watch/WatchVerdict.java
@@ -3,20 +3,20 @@
 import java.util.Optional;
 
 /**
- * What a watcher thinks of a primary.
+ * A watcher's verdict on a primary.
  *
- * @param suspicion why it is suspected; empty while it is trusted
- * @param urgent whether probes should be sent at the urgent pace
+ * @param suspicion the reason why the primary is suspected; empty if it is not suspected
+ * @param urgent whether probes should be sent at the urgent interval
  */
 public record WatchVerdict(Optional<Reason> suspicion, boolean urgent) {
 
-  /** Why a primary is suspected. */
+  /** The reason why a primary is suspected. */
   public enum Reason {
-    /** It did not answer for so long that an answer is improbable. */
+    /** The primary has not answered for so long that an answer is improbable. */
     SILENT,
-    /** It refused or broke several connections in a row. */
+    /** Several consecutive connections to the primary were refused or lost. */
     UNREACHABLE,
-    /** It answers, but no longer as the primary of its term: it was started again. */
+    /** The server answers, but not as the primary of its term, because it was restarted. */
     ROLE_LOST
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/watch/WatcherService.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/watch/WatcherService.java
@@ -29,12 +29,12 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Probes the primaries that this host watches and reports what it suspects. */
+/** Probes the primaries that are assigned to this host and reports suspected ones. Thread-safe. */
 public final class WatcherService implements AutoCloseable {
   private static final Logger log = LoggerFactory.getLogger(WatcherService.class);
   private static final Duration TICK = Duration.ofMillis(20);
   private static final long PAUSE_TOLERANCE_MILLIS = 150;
-  private static final long REPEAT_MILLIS = 500;
+  private static final long REPORT_INTERVAL_MILLIS = 500;
   private static final Duration REPORT_TIMEOUT = Duration.ofSeconds(1);
 
   private final HostId self;
@@ -48,13 +48,13 @@
   // All guarded by lock.
   private final Object lock = new Object();
   private final Map<GroupId, PrimaryWatch> watches = new HashMap<>();
-  private final PauseDetector pauses;
-  private View assigned = View.EMPTY;
+  private final PauseDetector pauseDetector;
+  private View assignedView = View.EMPTY;
   private Map<GroupId, String> reported = Map.of();
   private long nextReportMillis;
-  private Optional<ScheduledFuture<?>> ticking = Optional.empty();
+  private Optional<ScheduledFuture<?>> timer = Optional.empty();
 
-  /** Creates a service that probes nothing until it is started. */
+  /** Creates a service that sends no probes until {@link #start()}. */
   public WatcherService(
       HostId self,
       ViewHolder views,
@@ -70,17 +70,21 @@
     this.workers = workers;
     this.clock = clock;
     this.options = options;
-    this.pauses = new PauseDetector(TICK.toMillis(), PAUSE_TOLERANCE_MILLIS, clock.nowMillis());
+    this.pauseDetector =
+        new PauseDetector(TICK.toMillis(), PAUSE_TOLERANCE_MILLIS, clock.nowMillis());
   }
 
-  /** Starts to probe. */
+  /** Starts the periodic probes and reports. */
   public void start() {
     synchronized (lock) {
-      ticking = Optional.of(workers.scheduleRepeatedly(TICK, this::tick));
+      timer = Optional.of(workers.scheduleRepeatedly(TICK, this::tick));
     }
   }
 
-  /** A caller's request to a server failed: its primary, if watched here, is probed at once. */
+  /**
+   * Reports a failed request of a caller. If this host watches the server as a primary, its next
+   * probe becomes due immediately.
+   */
   public void requestFailed(GroupId group, ServerId server) {
     synchronized (lock) {
       PrimaryWatch watch = watches.get(group);
@@ -95,17 +99,17 @@
     long nowMillis = clock.nowMillis();
     View view = views.current();
     synchronized (lock) {
-      if (pauses.paused(nowMillis)) {
+      if (pauseDetector.recordTick(nowMillis)) {
         log.warn("event=watcher-paused reason=\"this process stood still\"");
-        watches.values().forEach(watch -> watch.watcherPaused(nowMillis));
+        watches.values().forEach(watch -> watch.resetAfterPause(nowMillis));
       }
-      if (view != assigned) {
+      if (view != assignedView) {
         assign(view, nowMillis);
-        assigned = view;
+        assignedView = view;
       }
-      long paceMillis = options.probeMillis(watches.size());
+      long intervalMillis = options.probeMillis(watches.size());
       for (PrimaryWatch watch : watches.values()) {
-        if (watch.takeProbe(nowMillis, paceMillis)) {
+        if (watch.tryStartProbe(nowMillis, intervalMillis)) {
           due.add(watch);
         }
       }
@@ -117,14 +121,14 @@
   private void assign(View view, long nowMillis) {
     watches.keySet().removeIf(group -> view.group(group).isEmpty());
     for (GroupState group : view.groups().values()) {
-      boolean mine =
+      boolean watchedHere =
           group.primary().isPresent() && assignment.watches(self, group.id(), view.hosts());
-      PrimaryWatch known = watches.get(group.id());
-      if (!mine) {
+      PrimaryWatch existing = watches.get(group.id());
+      if (!watchedHere) {
         watches.remove(group.id());
-      } else if (known == null
-          || known.term() != group.term()
-          || !known.primary().equals(group.primary().get())) {
+      } else if (existing == null
+          || existing.term() != group.term()
+          || !existing.primary().equals(group.primary().get())) {
         watches.put(
             group.id(),
             new PrimaryWatch(group.id(), group.term(), group.primary().get(), options, nowMillis));
@@ -136,36 +140,40 @@
     Optional<ServerState> server = view.server(watch.primary());
     if (server.isEmpty()) {
       synchronized (lock) {
-        watch.failed(sentMillis, clock.nowMillis());
+        watch.recordFailure(sentMillis, clock.nowMillis());
       }
       return;
     }
     admin
         .state(server.get().address(), Duration.ofMillis(options.probeTimeoutMillis()))
-        .whenComplete((report, failure) -> learn(watch, sentMillis, report, failure));
+        .whenComplete((report, failure) -> recordResult(watch, sentMillis, report, failure));
   }
 
-  private void learn(PrimaryWatch watch, long sentMillis, ServerReport report, Throwable failure) {
+  private void recordResult(
+      PrimaryWatch watch, long sentMillis, ServerReport report, Throwable failure) {
     long nowMillis = clock.nowMillis();
     synchronized (lock) {
       if (failure != null) {
-        boolean late = Futures.typed(failure).code() == ErrorCode.DEADLINE_EXCEEDED;
-        if (late) {
-          watch.timedOut(sentMillis, nowMillis);
+        boolean timedOut = Futures.typed(failure).code() == ErrorCode.DEADLINE_EXCEEDED;
+        if (timedOut) {
+          watch.recordTimeout(sentMillis, nowMillis);
         } else {
-          watch.failed(sentMillis, nowMillis);
+          watch.recordFailure(sentMillis, nowMillis);
         }
       } else if (report.server().equals(watch.primary())
           && report.term() == watch.term()
           && report.role() == ServerRole.PRIMARY) {
-        watch.answered(sentMillis, nowMillis);
+        watch.recordAnswer(sentMillis, nowMillis);
       } else {
-        watch.lostRole(sentMillis, nowMillis);
+        watch.recordRoleLost(sentMillis, nowMillis);
       }
     }
   }
 
-  /** Sends what is suspected: at once when it changed, else again and again while there is any. */
+  /**
+   * Reports the suspected primaries: immediately after a change, otherwise periodically while there
+   * are any.
+   */
   private void report(long nowMillis) {
     Map<GroupId, String> suspected = new HashMap<>();
     WatchReport.Builder message = WatchReport.newBuilder();
@@ -177,7 +185,7 @@
             .ifPresent(
                 reason -> {
                   suspected.put(watch.group(), watch.term() + "/" + reason);
-                  message.addSuspected(entry(watch, reason, nowMillis));
+                  message.addSuspected(watchedPrimary(watch, reason, nowMillis));
                 });
       }
       boolean changed = !suspected.equals(reported);
@@ -185,7 +193,7 @@
         return;
       }
       reported = suspected;
-      nextReportMillis = nowMillis + REPEAT_MILLIS;
+      nextReportMillis = nowMillis + REPORT_INTERVAL_MILLIS;
     }
     log.info("event=watch-report suspected={}", suspected);
     control
@@ -193,19 +201,19 @@
         .whenComplete(
             (reply, failure) -> {
               if (failure != null) {
-                resendSoon(Futures.unwrap(failure));
+                scheduleResend(Futures.unwrap(failure));
               }
             });
   }
 
-  private void resendSoon(Throwable failure) {
+  private void scheduleResend(Throwable failure) {
     log.warn("event=watch-report-failed reason=\"{}\"", failure.toString());
     synchronized (lock) {
       nextReportMillis = clock.nowMillis() + TICK.toMillis();
     }
   }
 
-  private static WatchedPrimary entry(
+  private static WatchedPrimary watchedPrimary(
       PrimaryWatch watch, WatchVerdict.Reason reason, long nowMillis) {
     return WatchedPrimary.newBuilder()
         .setGroup(watch.group().value())
@@ -220,7 +228,7 @@
   @Override
   public void close() {
     synchronized (lock) {
-      ticking.ifPresent(timer -> timer.cancel(false));
+      timer.ifPresent(scheduled -> scheduled.cancel(false));
     }
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/watch/package-info.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/watch/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Watches primaries for the control hosts.
+ * Failure detection of primaries on behalf of the control hosts.
  *
- * <p>Each proxy watches the primaries that {@link org.alderyard.common.watch.WatcherAssignment}
- * gives it, judges them by their measured response times, and reports all that it suspects in one
+ * <p>Each proxy probes the primaries that {@link org.alderyard.common.watch.WatcherAssignment}
+ * assigns to it, evaluates their response times, and reports all suspected primaries in one
  * message.
  */
 package org.alderyard.proxy.watch;
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/watch/PrimaryWatchTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/watch/PrimaryWatchTest.java
@@ -20,7 +20,7 @@
 import org.alderyard.proxy.watch.WatchVerdict.Reason;
 import org.junit.jupiter.api.Test;
 
-/** What makes a watcher suspect a primary, and what does not; in model time. */
+/** Tests when a watcher suspects a primary and when it does not, in simulated time. */
 class PrimaryWatchTest {
   private static final WatchOptions OPTIONS = WatchOptions.DEFAULT;
   private static final long TICK_MILLIS = 20;
@@ -31,91 +31,92 @@
     return new PrimaryWatch(new GroupId("g"), 1, new ServerId("s0"), options, 0);
   }
 
-  /** Writes stand still: the process of the primary was killed, so its port refuses. */
+  /** The process of the primary is killed, so its port refuses connections and writes fail. */
   @Test
   void refusedConnectionsAreSuspectedWithinQuarterSecond() {
     healthyUntil(1_000);
     long now = 1_000;
     while (watch.verdict(now).suspicion().isEmpty()) {
       now += TICK_MILLIS;
-      if (watch.takeProbe(now, 100)) {
-        watch.failed(now, now);
+      if (watch.tryStartProbe(now, 100)) {
+        watch.recordFailure(now, now);
       }
     }
     assertThat(watch.verdict(now).suspicion()).hasValue(Reason.UNREACHABLE);
     assertThat(now - 1_000).isAtMost(250);
   }
 
-  /** The primary's process is stopped: it takes connections and never answers. */
+  /** The process of the primary is stopped: it accepts connections and never answers. */
   @Test
-  void silenceIsSuspectedAfterAllowedPause() {
+  void unresponsivePrimaryIsSuspectedAfterToleratedPause() {
     healthyUntil(1_000);
     long now = 1_000;
     while (watch.verdict(now).suspicion().isEmpty()) {
       now += TICK_MILLIS;
-      watch.takeProbe(now, 100);
+      watch.tryStartProbe(now, 100);
     }
     assertThat(watch.verdict(now).suspicion()).hasValue(Reason.SILENT);
     assertThat(now - 1_000).isAtLeast(OPTIONS.pauseMillis());
     assertThat(now - 1_000).isAtMost(900);
   }
 
-  /** A slow server is replaced for nothing: its answers take 400 ms instead of 2, but come. */
+  /** A slow primary must not be replaced: it answers, but after 400 ms instead of 2 ms. */
   @Test
-  void serverThatBecomesSlowIsTrusted() {
+  void slowPrimaryIsNotSuspected() {
     healthyUntil(1_000);
     answerWithDelay(1_000, 20_000, 400);
   }
 
-  /** The watcher itself stood still for 3 s; on waking, all primaries look silent. */
+  /** After a pause of the watcher of 3 s, all primaries seem to be unresponsive. */
   @Test
-  void pausedWatcherSuspectsNoOne() {
+  void pausedWatcherSuspectsNoPrimary() {
     healthyUntil(1_000);
-    watch.takeProbe(1_000, 100);
-    PauseDetector pauses = new PauseDetector(TICK_MILLIS, 150, 1_000);
-    assertThat(pauses.paused(1_020)).isFalse();
-    assertThat(pauses.paused(4_000)).isTrue();
-    watch.watcherPaused(4_000);
+    watch.tryStartProbe(1_000, 100);
+    PauseDetector pauseDetector = new PauseDetector(TICK_MILLIS, 150, 1_000);
+    assertThat(pauseDetector.recordTick(1_020)).isFalse();
+    assertThat(pauseDetector.recordTick(4_000)).isTrue();
+    watch.resetAfterPause(4_000);
     assertThat(watch.verdict(4_000).suspicion()).isEmpty();
-    assertThat(watch.takeProbe(4_000, 100)).isTrue();
+    assertThat(watch.tryStartProbe(4_000, 100)).isTrue();
   }
 
-  /** The primary was restarted and answers at once, but takes no writes. */
+  /** A restarted primary answers immediately, but accepts no writes. */
   @Test
   void restartedPrimaryIsSuspectedThoughItAnswers() {
     healthyUntil(1_000);
     for (long now = 1_000; now < 1_300; now += 50) {
-      watch.lostRole(now, now + 2);
+      watch.recordRoleLost(now, now + 2);
     }
     assertThat(watch.verdict(1_300).suspicion()).hasValue(Reason.ROLE_LOST);
   }
 
-  /** A caller's request failed: the primary is probed at once, and trusted if it answers. */
+  /** A failed request of a caller triggers a probe, but does not make the primary suspected. */
   @Test
-  void failedRequestHurriesProbe() {
+  void failedRequestTriggersProbe() {
     healthyUntil(1_000);
-    watch.takeProbe(1_000, 10_000);
-    watch.answered(1_000, 1_002);
-    assertThat(watch.takeProbe(1_100, 10_000)).isFalse();
+    watch.tryStartProbe(1_000, 10_000);
+    watch.recordAnswer(1_000, 1_002);
+    assertThat(watch.tryStartProbe(1_100, 10_000)).isFalse();
     watch.requestFailed(1_100);
-    assertThat(watch.takeProbe(1_100, 10_000)).isTrue();
+    assertThat(watch.tryStartProbe(1_100, 10_000)).isTrue();
     assertThat(watch.verdict(1_102).suspicion()).isEmpty();
   }
 
   /**
-   * A healthy primary would be replaced. For 1,000 groups and a model minute each, 1% of the probes
-   * are lost for good and the primary stops for 500 ms eleven times.
+   * Guards against the replacement of a healthy primary. For 1,000 groups and one simulated minute
+   * each, 1% of the probes are lost and the primary pauses for 500 ms eleven times.
    */
   @Test
-  void lossAndPausesPromoteNoOne() {
+  void lossAndPausesDoNotCauseSuspicion() {
     assertThat(agreedTicks(OPTIONS, 1_000)).isEqualTo(0);
   }
 
-  /** The check above can fail: a watcher that allows for no pause does replace such a primary. */
+  /** Without a tolerated pause, lost probes and pauses make watchers suspect a healthy primary. */
   @Test
-  void sameLossAndPausesPromoteWithoutAllowance() {
-    WatchOptions hasty = new WatchOptions(100, 50, 100, 2_000, 4, 0, 10, 8.0, 3, 700, 3_000);
-    assertThat(agreedTicks(hasty, 10)).isGreaterThan(100);
+  void sameLossAndPausesCauseSuspicionWithoutToleratedPause() {
+    WatchOptions withoutToleratedPause =
+        new WatchOptions(100, 50, 100, 2_000, 4, 0, 10, 8.0, 3, 700, 3_000);
+    assertThat(agreedTicks(withoutToleratedPause, 10)).isGreaterThan(100);
   }
 
   private static int agreedTicks(WatchOptions options, int groups) {
@@ -131,15 +132,16 @@
     return agreed;
   }
 
-  /** Returns in how many ticks of a model minute two of three watchers suspected the primary. */
-  private static int agreedTicks(WatchOptions options, SplittableRandom random, Set<Long> pauses) {
+  /** Returns the number of ticks in a simulated minute in which two of three watchers agree. */
+  private static int agreedTicks(
+      WatchOptions options, SplittableRandom random, Set<Long> pauseStarts) {
     List<PrimaryWatch> watchers = List.of(newWatch(options), newWatch(options), newWatch(options));
     List<Map<Long, Long>> answers = List.of(new HashMap<>(), new HashMap<>(), new HashMap<>());
     int agreed = 0;
     for (long now = 0; now < 60_000; now += TICK_MILLIS) {
       int votes = 0;
       for (int w = 0; w < 3; w++) {
-        votes += step(watchers.get(w), answers.get(w), random, pauses, now) ? 1 : 0;
+        votes += step(watchers.get(w), answers.get(w), random, pauseStarts, now) ? 1 : 0;
       }
       agreed += votes >= 2 ? 1 : 0;
     }
@@ -150,43 +152,43 @@
       PrimaryWatch watch,
       Map<Long, Long> answers,
       SplittableRandom random,
-      Set<Long> pauses,
+      Set<Long> pauseStarts,
       long now) {
     for (long sent : new ArrayList<>(answers.keySet())) {
       if (answers.get(sent) <= now) {
         answers.remove(sent);
-        watch.answered(sent, now);
+        watch.recordAnswer(sent, now);
       }
     }
-    if (watch.takeProbe(now, 100) && random.nextInt(100) > 0) {
-      long wakes =
-          pauses.stream()
+    if (watch.tryStartProbe(now, 100) && random.nextInt(100) > 0) {
+      long resumesAt =
+          pauseStarts.stream()
               .filter(start -> start <= now && now < start + 500)
               .findFirst()
               .map(start -> start + 500)
               .orElse(now);
-      answers.put(now, wakes + 3 + random.nextInt(10));
+      answers.put(now, resumesAt + 3 + random.nextInt(10));
     }
     return watch.verdict(now).suspicion().isPresent();
   }
 
-  /** A zone is cut off: no group may have two watchers there while three zones have proxies. */
+  /** Guards against the loss of two watchers of a group when one of three zones is partitioned. */
   @Test
-  void watchersStandInDifferentZonesAndMoveLittle() {
+  void watchersAreInDifferentZonesAndRarelyReassigned() {
     WatcherAssignment assignment = new WatcherAssignment();
     Map<HostId, HostState> hosts = new HashMap<>();
     for (int i = 0; i < 30; i++) {
       HostState host = host(i);
       hosts.put(host.id(), host);
     }
-    Map<HostId, HostState> fewer = new HashMap<>(hosts);
-    fewer.remove(host(7).id());
+    Map<HostId, HostState> remaining = new HashMap<>(hosts);
+    remaining.remove(host(7).id());
     for (int g = 0; g < 500; g++) {
       GroupId group = new GroupId("g" + g);
       List<HostId> watchers = assignment.watchers(group, hosts.values());
       assertThat(watchers.stream().map(id -> hosts.get(id).zone()).distinct().count()).isEqualTo(3);
       if (!watchers.contains(host(7).id())) {
-        assertThat(assignment.watchers(group, fewer.values())).isEqualTo(watchers);
+        assertThat(assignment.watchers(group, remaining.values())).isEqualTo(watchers);
       }
       for (HostId host : hosts.keySet()) {
         assertThat(assignment.watches(host, group, hosts)).isEqualTo(watchers.contains(host));
@@ -215,12 +217,12 @@
     for (long now = fromMillis; now < endMillis; now += 2) {
       Optional<Long> sent = Optional.ofNullable(answers.remove(now));
       long at = now;
-      sent.ifPresent(from -> watch.answered(from, at));
-      if (watch.takeProbe(now, 100)) {
+      sent.ifPresent(from -> watch.recordAnswer(from, at));
+      if (watch.tryStartProbe(now, 100)) {
         answers.put(now + delayMillis, now);
       }
       assertThat(watch.verdict(now).suspicion()).isEmpty();
     }
-    answers.forEach((at, from) -> watch.answered(from, Math.min(at, endMillis)));
+    answers.forEach((at, from) -> watch.recordAnswer(from, Math.min(at, endMillis)));
   }
 }
