--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/monitor/GroupMonitor.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/monitor/GroupMonitor.java
@@ -17,9 +17,9 @@
 import org.alderyard.common.view.View;
 import org.alderyard.proxy.view.ViewHolder;
 
-/** Asks the servers of the view for their state, one request at a time each. */
+/** Polls the state of the servers in the view, with at most one request per server in flight. */
 public final class GroupMonitor {
-  private static final long ACTIVE_FOR_NANOS = TimeUnit.SECONDS.toNanos(5);
+  private static final long IN_USE_NANOS = TimeUnit.SECONDS.toNanos(5);
 
   private final ViewHolder views;
   private final ServerAdmin admin;
@@ -27,17 +27,17 @@
   private final Duration interval;
   private final Duration idleInterval;
   private final Map<GroupId, Long> lastUsedNanos = new ConcurrentHashMap<>();
-  private final Map<ServerId, Long> nextIdleNanos = new ConcurrentHashMap<>();
+  private final Map<ServerId, Long> nextIdlePollNanos = new ConcurrentHashMap<>();
   private final Map<ServerId, ServerObservation> observations = new ConcurrentHashMap<>();
-  private final Set<ServerId> asking = ConcurrentHashMap.newKeySet();
+  private final Set<ServerId> pollsInFlight = ConcurrentHashMap.newKeySet();
   private final java.util.List<BiConsumer<ServerState, Optional<ServerObservation>>> listeners =
       new CopyOnWriteArrayList<>();
 
   /**
-   * Creates a monitor that asks nothing until {@link #start(WorkerPool)}.
+   * Creates a monitor that sends no requests until {@link #start(WorkerPool)}.
    *
-   * @param interval the pace for groups that have work here
-   * @param idleInterval the pace for the others
+   * @param interval the poll interval for groups that callers of this proxy use
+   * @param idleInterval the poll interval for the other groups
    */
   public GroupMonitor(
       ViewHolder views,
@@ -52,58 +52,58 @@
     this.idleInterval = idleInterval;
   }
 
-  /** Starts to ask. */
+  /** Starts polling on the given workers. */
   public void start(WorkerPool workers) {
-    workers.scheduleRepeatedly(interval, this::askAll);
+    workers.scheduleRepeatedly(interval, this::pollAll);
   }
 
-  /** Adds a listener for each report, or the lack of one. */
+  /** Adds a listener for each poll result, which is empty if the request failed. */
   public void onReport(BiConsumer<ServerState, Optional<ServerObservation>> listener) {
     listeners.add(listener);
   }
 
-  /** Returns what was last heard of a server. */
+  /** Returns the last report of a server, or empty if there is none. */
   public Optional<ServerObservation> latest(ServerId server) {
     return Optional.ofNullable(observations.get(server));
   }
 
-  /** Notes that a group has work, so that its servers are asked at the fast pace for a while. */
+  /** Records a use of a group, so that its servers are polled at the short interval for some time. */
   public void used(GroupId group) {
     lastUsedNanos.put(group, clock.nowNanos());
   }
 
-  /** Asks every server that is due; the pool of workers calls it at the fast pace. */
-  void askAll() {
+  /** Polls every server that is due. The workers call this method at the short interval. */
+  void pollAll() {
     View view = views.current();
     observations.keySet().removeIf(server -> view.server(server).isEmpty());
-    nextIdleNanos.keySet().removeIf(server -> view.server(server).isEmpty());
+    nextIdlePollNanos.keySet().removeIf(server -> view.server(server).isEmpty());
     lastUsedNanos.keySet().removeIf(group -> view.group(group).isEmpty());
-    view.servers().values().stream().filter(this::due).forEach(this::ask);
+    view.servers().values().stream().filter(this::due).forEach(this::poll);
   }
 
   /**
-   * Returns whether a server is asked now.
+   * Returns whether a server is polled now.
    *
-   * <p>Asking all servers at the fast pace cost an idle proxy a tenth of a core for each group; so
-   * the groups without work here are asked at the slow pace. What is known of them is older then,
-   * and the age of the knowledge is part of every bound, so nothing is served that is too old.
+   * <p>Polling all servers at the short interval costs an idle proxy a tenth of a core per group,
+   * so groups that are not in use are polled at the long interval. Their reports are older, but
+   * every age bound includes the age of the report, so no data is served that is too old.
    */
   private boolean due(ServerState server) {
     long now = clock.nowNanos();
-    Long used = lastUsedNanos.get(server.group());
-    if (used != null && now - used < ACTIVE_FOR_NANOS) {
+    Long lastUsed = lastUsedNanos.get(server.group());
+    if (lastUsed != null && now - lastUsed < IN_USE_NANOS) {
       return true;
     }
-    Long next = nextIdleNanos.get(server.id());
+    Long next = nextIdlePollNanos.get(server.id());
     if (next != null && now - next < 0) {
       return false;
     }
-    nextIdleNanos.put(server.id(), now + idleInterval.toNanos());
+    nextIdlePollNanos.put(server.id(), now + idleInterval.toNanos());
     return true;
   }
 
-  private void ask(ServerState server) {
-    if (!asking.add(server.id())) {
+  private void poll(ServerState server) {
+    if (!pollsInFlight.add(server.id())) {
       return;
     }
     long askedNanos = clock.nowNanos();
@@ -111,12 +111,12 @@
         .state(server.address(), interval.multipliedBy(10))
         .whenComplete(
             (report, failure) -> {
-              asking.remove(server.id());
+              pollsInFlight.remove(server.id());
               Optional<ServerObservation> observation =
                   failure == null && report.server().equals(server.id())
                       ? Optional.of(new ServerObservation(report, askedNanos, clock.nowNanos()))
                       : Optional.empty();
-              observation.ifPresent(seen -> observations.put(server.id(), seen));
+              observation.ifPresent(observed -> observations.put(server.id(), observed));
               listeners.forEach(listener -> listener.accept(server, observation));
             });
   }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/monitor/ServerObservation.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/monitor/ServerObservation.java
@@ -3,10 +3,10 @@
 import org.alderyard.backend.ServerReport;
 
 /**
- * A server's report and when it was asked for.
+ * A server's report with the times of its request and arrival.
  *
  * @param report the report
- * @param askedNanos when the request left, on the monotonic clock; the report is not older
- * @param receivedNanos when the report arrived, on the monotonic clock
+ * @param askedNanos the monotonic time before the request was sent; the report is not older
+ * @param receivedNanos the monotonic time at which the report arrived
  */
 public record ServerObservation(ServerReport report, long askedNanos, long receivedNanos) {}
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/monitor/package-info.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/monitor/package-info.java
@@ -1,2 +1,2 @@
-/** What this proxy knows of the positions of backend servers, and how old that knowledge is. */
+/** Polling of backend servers for their positions, with the time of each report. */
 package org.alderyard.proxy.monitor;
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/package-info.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/package-info.java
@@ -1,2 +1,2 @@
-/** Caller API, sessions, routing, limits, retries and transactions. */
+/** The proxy: caller API, sessions, read routing, limiters, retries and transactions. */
 package org.alderyard.proxy;
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/monitor/GroupMonitorTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/monitor/GroupMonitorTest.java
@@ -27,59 +27,60 @@
 import org.alderyard.proxy.view.ViewHolder;
 import org.junit.jupiter.api.Test;
 
-/** How often the servers of groups with and without work are asked. */
+/** Tests how often the servers of groups are polled that are in use or idle. */
 class GroupMonitorTest {
-  private static final Duration FAST = Duration.ofMillis(20);
-  private static final Duration SLOW = Duration.ofMillis(500);
+  private static final Duration SHORT_INTERVAL = Duration.ofMillis(20);
+  private static final Duration LONG_INTERVAL = Duration.ofMillis(500);
   private static final GroupId BUSY = new GroupId("busy");
-  private static final GroupId QUIET = new GroupId("quiet");
+  private static final GroupId IDLE = new GroupId("quiet");
 
   private final PausedClock clock = new PausedClock();
   private final CountingAdmin admin = new CountingAdmin();
   private final ViewHolder views = new ViewHolder();
-  private final GroupMonitor monitor = new GroupMonitor(views, admin, clock, FAST, SLOW);
+  private final GroupMonitor monitor =
+      new GroupMonitor(views, admin, clock, SHORT_INTERVAL, LONG_INTERVAL);
 
   /**
-   * An idle proxy with nine servers spent more than a tenth of a core on questions. Only the groups
-   * that callers use here need positions at the fast pace.
+   * An idle proxy with nine servers spent more than a tenth of a core on polling. Only groups that
+   * callers of this proxy use need positions at the short interval.
    */
   @Test
-  void onlyGroupsWithWorkAreAskedAtTheFastPace() {
+  void onlyGroupsInUseArePolledAtShortInterval() {
     views.offer(view());
     for (int round = 0; round < 100; round++) {
       monitor.used(BUSY);
       step();
     }
-    assertThat(admin.asked.get(1)).isEqualTo(100);
-    assertThat(admin.asked.get(2)).isEqualTo(4);
+    assertThat(admin.requestsByPort.get(1)).isEqualTo(100);
+    assertThat(admin.requestsByPort.get(2)).isEqualTo(4);
   }
 
   @Test
-  void groupFallsBackToTheSlowPaceWhenItsWorkEnds() {
+  void groupIsPolledAtLongIntervalAfterUse() {
     views.offer(view());
     monitor.used(BUSY);
     for (int round = 0; round < 250; round++) {
       step();
     }
-    int afterWork = admin.asked.get(1);
-    assertThat(afterWork).isEqualTo(250);
+    int requestsInUse = admin.requestsByPort.get(1);
+    assertThat(requestsInUse).isEqualTo(250);
     for (int round = 0; round < 100; round++) {
       step();
     }
-    assertThat(admin.asked.get(1) - afterWork).isEqualTo(4);
+    assertThat(admin.requestsByPort.get(1) - requestsInUse).isEqualTo(4);
   }
 
   private void step() {
-    monitor.askAll();
-    clock.advance(FAST);
+    monitor.pollAll();
+    clock.advance(SHORT_INTERVAL);
   }
 
   private static View view() {
     return new View(
         new ViewVersion(1, 1),
         Map.of(),
-        Map.of(BUSY, group(BUSY), QUIET, group(QUIET)),
-        Map.of(new ServerId("s1"), server(1, BUSY), new ServerId("s2"), server(2, QUIET)),
+        Map.of(BUSY, group(BUSY), IDLE, group(IDLE)),
+        Map.of(new ServerId("s1"), server(1, BUSY), new ServerId("s2"), server(2, IDLE)),
         Map.of(),
         List.of());
   }
@@ -98,18 +99,18 @@
         ServerStatus.ACTIVE);
   }
 
-  /** Answers at once and counts by port. */
+  /** Answers immediately and counts requests by port. */
   private static final class CountingAdmin implements ServerAdmin {
-    final Map<Integer, Integer> asked = new TreeMap<>();
+    final Map<Integer, Integer> requestsByPort = new TreeMap<>();
 
     @Override
     public CompletableFuture<ServerReport> state(InetSocketAddress server, Duration timeout) {
-      asked.merge(server.getPort(), 1, Integer::sum);
+      requestsByPort.merge(server.getPort(), 1, Integer::sum);
       return CompletableFuture.completedFuture(
           new ServerReport(
               new ServerId("s" + server.getPort()),
               1,
-              server.getPort() == 1 ? BUSY : QUIET,
+              server.getPort() == 1 ? BUSY : IDLE,
               1,
               ServerRole.REPLICA,
               Position.NONE,
