--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/monitor/GroupMonitor.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/monitor/GroupMonitor.java
@@ -67,7 +67,7 @@
     return Optional.ofNullable(observations.get(server));
   }
 
-  /** Records a use of a group, so that its servers are polled at the short interval for some time. */
+  /** Records a use of a group, so that its servers are polled at the short interval for a time. */
   public void used(GroupId group) {
     lastUsedNanos.put(group, clock.nowNanos());
   }
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/watch/PrimaryWatchTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/watch/PrimaryWatchTest.java
@@ -107,13 +107,13 @@
    * each, 1% of the probes are lost and the primary pauses for 500 ms eleven times.
    */
   @Test
-  void lossAndPausesDoNotCauseSuspicion() {
+  void lossAndPausesDoNotReplacePrimary() {
     assertThat(agreedTicks(OPTIONS, 1_000)).isEqualTo(0);
   }
 
-  /** Without a tolerated pause, lost probes and pauses make watchers suspect a healthy primary. */
+  /** Without a tolerated pause, the same lost probes and pauses replace a healthy primary. */
   @Test
-  void sameLossAndPausesCauseSuspicionWithoutToleratedPause() {
+  void sameLossAndPausesReplacePrimaryWithoutToleratedPause() {
     WatchOptions withoutToleratedPause =
         new WatchOptions(100, 50, 100, 2_000, 4, 0, 10, 8.0, 3, 700, 3_000);
     assertThat(agreedTicks(withoutToleratedPause, 10)).isGreaterThan(100);
