--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/freshness/FreshnessTable.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/freshness/FreshnessTable.java
@@ -17,7 +17,7 @@
   }
 
   /** Adopts a newer view: updates its groups and removes all others. */
-  public void updateView(View view) {
+  public void onViewChange(View view) {
     Set<GroupId> currentGroups = view.groups().keySet();
     groups.keySet().retainAll(currentGroups);
     for (GroupState group : view.groups().values()) {
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadStack.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadStack.java
@@ -83,8 +83,8 @@
             new ReadRouter(chooser, options.waitBudget().toNanos()),
             metrics,
             options.routingLogSample());
-    onViewChanged(views.current());
-    views.onChange(this::onViewChanged);
+    onViewChange(views.current());
+    views.onChange(this::onViewChange);
     monitor.onReport(this::onServerReport);
     workers.scheduleRepeatedly(SWEEP_INTERVAL, gates::sweep);
   }
@@ -107,8 +107,8 @@
         .orElse(1);
   }
 
-  private void onViewChanged(View view) {
-    freshness.updateView(view);
+  private void onViewChange(View view) {
+    freshness.onViewChange(view);
     loads.retainOnly(view.servers().keySet());
   }
 
