--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/routing/ServerHealth.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/routing/ServerHealth.java
@@ -6,9 +6,9 @@
  * Ejects a server that fails repeatedly and readmits it with a slow start. Not thread-safe.
  *
  * <p>A server is ejected after {@link #FAILURES_TO_EJECT} consecutive failures. The ejection time
- * doubles with each further ejection. After an ejection, the weight of the server grows from {@link
- * #INITIAL_WEIGHT} to 1, because the server may have cold caches and all proxies would otherwise
- * send their reads to the idle server at the same time.
+ * doubles with each further ejection, up to a limit. After an ejection, the weight of the server
+ * grows from {@link #INITIAL_WEIGHT} to 1, because the server may have cold caches and all proxies
+ * would otherwise send their reads to the idle server at the same time.
  */
 final class ServerHealth {
   static final int FAILURES_TO_EJECT = 5;
