--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/freshness/GroupFreshness.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/freshness/GroupFreshness.java
@@ -101,9 +101,7 @@
   public synchronized void recordAnswer(ServerId server, long incarnation, Position applied) {
     ServerEntry entry = servers.get(server);
     boolean newer =
-        entry != null
-            && entry.incarnation == incarnation
-            && applied.compareTo(entry.applied) > 0;
+        entry != null && entry.incarnation == incarnation && applied.compareTo(entry.applied) > 0;
     if (newer) {
       entry.applied = applied;
     }
@@ -122,11 +120,7 @@
     }
     return Optional.of(
         new ServerFreshness(
-            server,
-            entry.incarnation,
-            entry.applied,
-            freshAsOf(entry.applied),
-            lagOf(entry)));
+            server, entry.incarnation, entry.applied, freshAsOf(entry.applied), lagOf(entry)));
   }
 
   /**
@@ -145,8 +139,8 @@
   }
 
   /**
-   * Returns a time up to which a server that has applied the position holds all writes; empty if
-   * no such time is confirmed.
+   * Returns a time up to which a server that has applied the position holds all writes; empty if no
+   * such time is confirmed.
    */
   public synchronized OptionalLong freshAsOf(Position applied) {
     OptionalLong coveredNanos = primaryHistory.latestAtOrBefore(applied);
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/routing/RoutingDecision.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/routing/RoutingDecision.java
@@ -37,7 +37,8 @@
     Objects.requireNonNull(ageBoundNanos);
   }
 
-  static RoutingDecision replica(ServerState server, OptionalLong ageBoundNanos, int eligibleCount) {
+  static RoutingDecision replica(
+      ServerState server, OptionalLong ageBoundNanos, int eligibleCount) {
     return new RoutingDecision(
         RoutingReason.REPLICA_FRESH,
         Optional.of(server),
@@ -87,7 +88,9 @@
               retryAfterMillis);
       default ->
           AlderyardException.notRun(
-              ErrorCode.NO_ELIGIBLE_SERVER, "no server of the group accepts reads", retryAfterMillis);
+              ErrorCode.NO_ELIGIBLE_SERVER,
+              "no server of the group accepts reads",
+              retryAfterMillis);
     };
   }
 }
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/freshness/FreshnessTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/freshness/FreshnessTest.java
@@ -91,9 +91,7 @@
       int receivedAt = measuredAt + random.nextInt(20);
       int serverIndex = random.nextInt(3);
       long index =
-          serverIndex == 0
-              ? primaryIndex[measuredAt]
-              : replicaIndex[serverIndex - 1][measuredAt];
+          serverIndex == 0 ? primaryIndex[measuredAt] : replicaIndex[serverIndex - 1][measuredAt];
       groupFreshness.observe(
           new Measurement(
               ALL.get(serverIndex),
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/routing/ReadRouterTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/routing/ReadRouterTest.java
@@ -83,7 +83,8 @@
 
   @Test
   void freshReplicaIsPreferred() {
-    RoutingDecision decision = decide(OWN_WRITE, group, 1, candidate(near, 49, 200), candidate(far, 50, 10));
+    RoutingDecision decision =
+        decide(OWN_WRITE, group, 1, candidate(near, 49, 200), candidate(far, 50, 10));
     assertThat(decision.reason()).isEqualTo(RoutingReason.REPLICA_FRESH);
     assertThat(decision.server()).hasValue(far);
     assertThat(decision.eligibleCount()).isEqualTo(1);
@@ -91,7 +92,8 @@
 
   @Test
   void readWaitsForReplicaThatCatchesUpWithinBudget() {
-    RoutingDecision decision = decide(OWN_WRITE, group, 1, candidate(near, 49, 200), candidate(far, 40, 900));
+    RoutingDecision decision =
+        decide(OWN_WRITE, group, 1, candidate(near, 49, 200), candidate(far, 40, 900));
     assertThat(decision.reason()).isEqualTo(RoutingReason.REPLICA_WAIT);
     assertThat(decision.server()).hasValue(near);
     assertThat(decision.waitFor()).hasValue(WRITTEN);
@@ -108,7 +110,11 @@
     assertThat(decide(ReadDemand.session(primaryOnly()), group, 1, candidate(near, 60, 0)).reason())
         .isEqualTo(RoutingReason.PRIMARY_SESSION_FOLDED);
     assertThat(
-            decide(ReadDemand.bounded(100 * MILLI, Requirement.NONE), group, 1, candidate(near, 60, 200))
+            decide(
+                    ReadDemand.bounded(100 * MILLI, Requirement.NONE),
+                    group,
+                    1,
+                    candidate(near, 60, 200))
                 .reason())
         .isEqualTo(RoutingReason.PRIMARY_REPLICAS_BEHIND);
   }
@@ -120,7 +126,8 @@
    */
   @Test
   void primaryIsProtectedWhenEveryReplicaIsFarBehind() {
-    RoutingDecision decision = decide(OWN_WRITE, group, 0, candidate(near, 9, 5_000), candidate(far, 9, 3_000));
+    RoutingDecision decision =
+        decide(OWN_WRITE, group, 0, candidate(near, 9, 5_000), candidate(far, 9, 3_000));
     assertThat(decision.reason()).isEqualTo(RoutingReason.REFUSED_PRIMARY_BUSY);
     AlderyardException error = assertThrows(AlderyardException.class, decision::serverOrThrow);
     assertThat(error.code()).isEqualTo(ErrorCode.OVERLOADED);
@@ -134,7 +141,9 @@
   void leavingAndExpiredServersReceiveNoReads() {
     ServerState leaving = server("s2", OWN_ZONE, ServerStatus.LEAVING);
     ServerState expired = server("s3", OTHER_ZONE, ServerStatus.EXPIRED);
-    assertThat(decide(ReadDemand.ANY, group, 1, candidate(leaving, 60, 0), candidate(expired, 60, 0)).reason())
+    assertThat(
+            decide(ReadDemand.ANY, group, 1, candidate(leaving, 60, 0), candidate(expired, 60, 0))
+                .reason())
         .isEqualTo(RoutingReason.PRIMARY_REPLICAS_UNKNOWN);
     GroupState failover = new GroupState(GROUP, 1, Optional.empty(), List.of(), 2, 40);
     RoutingDecision refused =
