--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadMetrics.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadMetrics.java
@@ -60,9 +60,9 @@
   }
 
   /** Registers the gauges of the limiters. */
-  public void registerGauges(Gates gates) {
-    gauge("alderyard_statements_queued", "Statements that wait for a server.", gates::queued);
-    gauge("alderyard_statements_in_flight", "Statements that run at servers.", gates::inFlight);
+  public void registerGauges(Gates limiters) {
+    gauge("alderyard_statements_queued", "Statements that wait for a server.", limiters::queued);
+    gauge("alderyard_statements_in_flight", "Statements that run at servers.", limiters::inFlight);
   }
 
   private void gauge(String name, String help, java.util.function.IntSupplier value) {
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadPath.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadPath.java
@@ -51,7 +51,7 @@
   private final FreshnessTable freshness;
   private final PositionWaits positionWaits;
   private final ServerLoads loads;
-  private final Gates gates;
+  private final Gates limiters;
   private final ServerRunner runner;
   private final ReadRouter router;
   private final ReadMetrics metrics;
@@ -65,7 +65,7 @@
       FreshnessTable freshness,
       PositionWaits positionWaits,
       ServerLoads loads,
-      Gates gates,
+      Gates limiters,
       ServerRunner runner,
       ReadRouter router,
       ReadMetrics metrics,
@@ -74,7 +74,7 @@
     this.freshness = Objects.requireNonNull(freshness);
     this.positionWaits = Objects.requireNonNull(positionWaits);
     this.loads = Objects.requireNonNull(loads);
-    this.gates = Objects.requireNonNull(gates);
+    this.limiters = Objects.requireNonNull(limiters);
     this.runner = Objects.requireNonNull(runner);
     this.router = Objects.requireNonNull(router);
     this.metrics = Objects.requireNonNull(metrics);
@@ -143,7 +143,7 @@
   }
 
   private int primaryReadCapacity(GroupState group) {
-    return group.primary().map(id -> gates.readRoom(id, group.slotsPerServer())).orElse(0);
+    return group.primary().map(id -> limiters.readRoom(id, group.slotsPerServer())).orElse(0);
   }
 
   private CompletableFuture<ReadAnswer> waitThenSend(
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadStack.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadStack.java
@@ -34,7 +34,7 @@
   private final FreshnessTable freshness = new FreshnessTable();
   private final PositionWaits positionWaits;
   private final ServerLoads loads;
-  private final Gates gates;
+  private final Gates limiters;
   private final ServerRunner runner;
   private final ReadPath path;
 
@@ -57,7 +57,7 @@
     ReadMetrics metrics = new ReadMetrics(registry);
     positionWaits = new PositionWaits(workers);
     loads = new ServerLoads(clock);
-    gates =
+    limiters =
         new Gates(
             clock,
             (server, slots) ->
@@ -68,8 +68,8 @@
             options.queuePerServer(),
             workers,
             (server, flow, reason) -> metrics.recordRefusal(reason));
-    metrics.registerGauges(gates);
-    runner = new ServerRunner(gates, loads, pools, clock, metrics);
+    metrics.registerGauges(limiters);
+    runner = new ServerRunner(limiters, loads, pools, clock, metrics);
     ServerChooser chooser =
         new ServerChooser(zone, ServerChooser.DEFAULT_OTHER_ZONE_FACTOR, random);
     path =
@@ -78,7 +78,7 @@
             freshness,
             positionWaits,
             loads,
-            gates,
+            limiters,
             runner,
             new ReadRouter(chooser, options.waitBudget().toNanos()),
             metrics,
@@ -86,7 +86,7 @@
     onViewChange(views.current());
     views.onChange(this::onViewChange);
     monitor.onReport(this::onServerReport);
-    workers.scheduleRepeatedly(SWEEP_INTERVAL, gates::sweep);
+    workers.scheduleRepeatedly(SWEEP_INTERVAL, limiters::sweep);
   }
 
   /** Returns the read path. */
@@ -96,7 +96,7 @@
 
   /** Returns the limiters of the servers, which reads and writes share. */
   public Gates gates() {
-    return gates;
+    return limiters;
   }
 
   private static int connectionsPerServer(ViewHolder views, ServerId server) {
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ServerRunner.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ServerRunner.java
@@ -25,7 +25,7 @@
 public final class ServerRunner {
   private static final Logger log = LoggerFactory.getLogger(ServerRunner.class);
 
-  private final Gates gates;
+  private final Gates limiters;
   private final ServerLoads loads;
   private final ServerPools pools;
   private final MonotonicClock clock;
@@ -33,12 +33,12 @@
 
   /** Creates a runner for the given limiters and connection pools. */
   public ServerRunner(
-      Gates gates,
+      Gates limiters,
       ServerLoads loads,
       ServerPools pools,
       MonotonicClock clock,
       ReadMetrics metrics) {
-    this.gates = Objects.requireNonNull(gates);
+    this.limiters = Objects.requireNonNull(limiters);
     this.loads = Objects.requireNonNull(loads);
     this.pools = Objects.requireNonNull(pools);
     this.clock = Objects.requireNonNull(clock);
@@ -60,7 +60,7 @@
     boolean primary = group.primary().filter(server.id()::equals).isPresent();
     boolean write = statement.kind() == StatementKind.WRITE;
     loads.begin(server);
-    return gates
+    return limiters
         .enter(server.id(), group.slotsPerServer(), primary, flow, write, deadlineNanos)
         .whenComplete(
             (permit, refusal) -> {
