--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadStack.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadStack.java
@@ -13,9 +13,9 @@
 import org.alderyard.common.view.GroupState;
 import org.alderyard.common.view.ServerState;
 import org.alderyard.common.view.View;
-import org.alderyard.proxy.freshness.ArrivalWaits;
 import org.alderyard.proxy.freshness.FreshnessTable;
 import org.alderyard.proxy.freshness.Measurement;
+import org.alderyard.proxy.freshness.PositionWaits;
 import org.alderyard.proxy.limit.Gates;
 import org.alderyard.proxy.limit.LeasedSlots;
 import org.alderyard.proxy.monitor.GroupMonitor;
@@ -27,21 +27,21 @@
 import org.alderyard.proxy.routing.ServerLoads;
 import org.alderyard.proxy.view.ViewHolder;
 
-/** Puts the parts of the read path together and feeds them with views and measurements. */
+/** Assembles the read path and supplies it with views and measurements. */
 public final class ReadStack {
   private static final Duration SWEEP_INTERVAL = Duration.ofMillis(10);
 
   private final FreshnessTable freshness = new FreshnessTable();
-  private final ArrivalWaits arrivals;
+  private final PositionWaits positionWaits;
   private final ServerLoads loads;
-  private final Gates gates;
+  private final Gates limiters;
   private final ServerRunner runner;
   private final ReadPath path;
 
   /**
-   * Creates the parts and starts to follow the view and the monitor.
+   * Creates the read path and registers it as a listener of the views and of the monitor.
    *
-   * @param random a generator that several threads may use
+   * @param random a thread-safe random generator
    */
   public ReadStack(
       ReadOptions options,
@@ -55,49 +55,51 @@
       RandomGenerator random,
       PrometheusRegistry registry) {
     ReadMetrics metrics = new ReadMetrics(registry);
-    arrivals = new ArrivalWaits(workers);
+    positionWaits = new PositionWaits(workers);
     loads = new ServerLoads(clock);
-    gates =
+    limiters =
         new Gates(
             clock,
             (server, slots) ->
                 new LeasedSlots(
-                    slots, () -> allowance.allowed(server), () -> connections(views, server)),
+                    slots,
+                    () -> allowance.allowed(server),
+                    () -> connectionsPerServer(views, server)),
             options.queuePerServer(),
             workers,
-            (server, flow, reason) -> metrics.refused(reason));
-    metrics.watch(gates);
-    runner = new ServerRunner(gates, loads, pools, clock, metrics);
+            (server, flow, reason) -> metrics.recordRefusal(reason));
+    metrics.registerGauges(limiters);
+    runner = new ServerRunner(limiters, loads, pools, clock, metrics);
     ServerChooser chooser =
         new ServerChooser(zone, ServerChooser.DEFAULT_OTHER_ZONE_FACTOR, random);
     path =
         new ReadPath(
             clock,
             freshness,
-            arrivals,
+            positionWaits,
             loads,
-            gates,
+            limiters,
             runner,
             new ReadRouter(chooser, options.waitBudget().toNanos()),
             metrics,
             options.routingLogSample());
-    follow(views.current());
-    views.onChange(this::follow);
-    monitor.onReport(this::measured);
-    workers.scheduleRepeatedly(SWEEP_INTERVAL, gates::sweep);
+    onViewChange(views.current());
+    views.onChange(this::onViewChange);
+    monitor.onReport(this::onServerReport);
+    workers.scheduleRepeatedly(SWEEP_INTERVAL, limiters::sweep);
   }
 
-  /** Returns the path of reads. */
+  /** Returns the read path. */
   public ReadPath path() {
     return path;
   }
 
-  /** Returns the gates before the servers, for writes as well. */
+  /** Returns the limiters of the servers, which reads and writes share. */
   public Gates gates() {
-    return gates;
+    return limiters;
   }
 
-  private static int connections(ViewHolder views, ServerId server) {
+  private static int connectionsPerServer(ViewHolder views, ServerId server) {
     View view = views.current();
     return view.server(server)
         .flatMap(state -> view.group(state.group()))
@@ -105,15 +107,15 @@
         .orElse(1);
   }
 
-  private void follow(View view) {
-    freshness.follow(view);
-    loads.retain(view.servers().keySet());
+  private void onViewChange(View view) {
+    freshness.onViewChange(view);
+    loads.retainOnly(view.servers().keySet());
   }
 
-  private void measured(ServerState server, Optional<ServerObservation> observation) {
+  private void onServerReport(ServerState server, Optional<ServerObservation> observation) {
     observation.ifPresent(
-        seen -> {
-          ServerReport report = seen.report();
+        observed -> {
+          ServerReport report = observed.report();
           freshness
               .group(server.group())
               .observe(
@@ -124,9 +126,9 @@
                       report.role() == ServerRole.PRIMARY,
                       report.held(),
                       report.applied(),
-                      seen.askedNanos(),
-                      seen.receivedNanos()));
-          arrivals.applied(report.server(), report.applied());
+                      observed.askedNanos(),
+                      observed.receivedNanos()));
+          positionWaits.recordApplied(report.server(), report.applied());
         });
   }
 }
