--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/transaction/TransactionService.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/transaction/TransactionService.java
@@ -77,7 +77,7 @@
       CallerId caller, PoolState pool, GroupId group, Duration timeout) {
     table.reserve();
     return writes
-        .primary(group, timeout)
+        .awaitPrimary(group, timeout)
         .thenCompose(
             target ->
                 pools
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/write/Acknowledgement.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/write/Acknowledgement.java
@@ -10,44 +10,47 @@
 import org.alderyard.common.view.PoolState;
 import org.alderyard.common.view.WriteAcknowledgement;
 
-/** Turns the answer of a primary into an acknowledgement, in the way that the pool asks for. */
+/** Acknowledges a write that a primary has run, in the mode that its pool requires. */
 final class Acknowledgement {
 
   private Acknowledgement() {}
 
   static CompletableFuture<WriteAnswer> of(
-      WriteParts parts,
+      WriteContext context,
       PoolState pool,
       GroupId group,
       WriteTarget target,
       BackendAnswer answer,
       Duration timeout) {
-    WriteAnswer write = new WriteAnswer(answer.result(), target.primary().id(), answer.position());
+    WriteAnswer writeAnswer =
+        new WriteAnswer(answer.result(), target.primary().id(), answer.position());
     if (pool.writeAcknowledgement() == WriteAcknowledgement.PRIMARY_ONLY) {
-      requireCurrentTerm(parts, group, target);
-      return CompletableFuture.completedFuture(write);
+      requireCurrentTerm(context, group, target);
+      return CompletableFuture.completedFuture(writeAnswer);
     }
-    return parts
-        .majority()
+    return context
+        .acknowledger()
         .await(group, target.term(), answer.position().index(), timeout)
-        .thenApply(held -> write);
+        .thenApply(ignored -> writeAnswer);
   }
 
   /**
-   * Guards against a primary that slept through its replacement and answers when it wakes: without
-   * a majority only our own view can tell, so it must be fresh and still name the term.
+   * Fails the write unless the current view is valid and still names the term of the primary.
+   *
+   * <p>A suspended primary may be replaced and answer after it resumes. Without a majority, only
+   * the proxy's own view can show the replacement.
    */
-  private static void requireCurrentTerm(WriteParts parts, GroupId group, WriteTarget target) {
+  private static void requireCurrentTerm(WriteContext context, GroupId group, WriteTarget target) {
     boolean current =
-        parts.viewLeaseValid().getAsBoolean()
-            && PrimaryWaiters.target(parts.views().current(), group, target.term())
-                .filter(now -> now.term() == target.term())
+        context.viewLeaseValid().getAsBoolean()
+            && PrimaryWaitQueue.findTarget(context.views().current(), group, target.term())
+                .filter(currentTarget -> currentTarget.term() == target.term())
                 .isPresent();
     if (!current) {
       throw new AlderyardException(
           ErrorCode.PRIMARY_REPLACED,
           Outcome.OUTCOME_UNKNOWN,
-          "the write ran on a primary that may have been replaced meanwhile");
+          "the write ran on a primary that may have been replaced since");
     }
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/write/GatedWrites.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/write/GatedWrites.java
@@ -8,40 +8,46 @@
 import org.alderyard.proxy.limit.Gates;
 import org.alderyard.proxy.view.ViewHolder;
 
-/** Sends writes through the same gate of a server as reads, so that its slots hold for both. */
+/**
+ * Admits writes through the per-server limiters of the reads, so that both share a server's slots.
+ */
 public final class GatedWrites implements WriteAdmission {
-  private static final String NO_CALLER = "";
-  private static final int LEAST_SLOTS = 1;
+  private static final String UNKNOWN_CALLER = "";
+  private static final int FALLBACK_SLOTS = 1;
 
-  private final Gates gates;
+  private final Gates limiters;
   private final ViewHolder views;
 
-  /** Uses the gates of the reads. */
-  public GatedWrites(Gates gates, ViewHolder views) {
-    this.gates = Objects.requireNonNull(gates);
+  /** Creates an admission that uses the limiters of the reads. */
+  public GatedWrites(Gates limiters, ViewHolder views) {
+    this.limiters = Objects.requireNonNull(limiters);
     this.views = Objects.requireNonNull(views);
   }
 
   @Override
-  public CompletableFuture<Turn> enter(
+  public CompletableFuture<Permit> acquire(
       WriteRequest request, ServerState primary, long deadlineNanos) {
     int slots =
-        views.current().group(request.group()).map(GroupState::slotsPerServer).orElse(LEAST_SLOTS);
-    String caller = request.ledgerKey().map(key -> key.caller().value()).orElse(NO_CALLER);
+        views
+            .current()
+            .group(request.group())
+            .map(GroupState::slotsPerServer)
+            .orElse(FALLBACK_SLOTS);
+    String caller = request.ledgerKey().map(key -> key.caller().value()).orElse(UNKNOWN_CALLER);
     Flow flow = new Flow(request.pool().name(), caller);
-    return gates
+    return limiters
         .enter(primary.id(), slots, true, flow, true, deadlineNanos)
-        .thenApply(GateTurn::new);
+        .thenApply(LimiterPermit::new);
   }
 
-  private record GateTurn(Gates.Permit permit) implements Turn {
+  private record LimiterPermit(Gates.Permit permit) implements Permit {
     @Override
-    public void end(boolean answered) {
+    public void release(boolean answered) {
       permit.end(answered);
     }
 
     @Override
-    public void notSent() {
+    public void releaseUnsent() {
       permit.notSent();
     }
   }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/write/MajorityAcknowledger.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/write/MajorityAcknowledger.java
@@ -27,14 +27,13 @@
 /**
  * Waits until a majority of a group's servers hold a write.
  *
- * <p>Guards against the loss of an acknowledged write: a primary that fails right after it ran a
- * write takes the write with it. Any later promotion fences a majority first, so one server of that
- * majority holds the write, and the promotion chooses the longest log. A replica that was fenced at
- * a higher term no longer counts, so a primary that slept through its replacement gets nothing
- * acknowledged when it wakes.
+ * <p>A primary that fails right after it ran a write would otherwise lose an acknowledged write.
+ * Any later promotion fences a majority first, so one server of that majority holds the write, and
+ * the promotion chooses the longest log. A replica that was fenced at a higher term no longer
+ * counts, so a primary that resumes after its replacement gets no write acknowledged.
  *
- * <p>One long poll for each replica and term covers all writes that wait for it, so the cost
- * follows the number of servers and not the number of writes.
+ * <p>A single long poll per replica and term covers all pending writes, so the cost grows with the
+ * number of servers and not with the number of writes.
  */
 public final class MajorityAcknowledger {
   private static final Duration POLL_WAIT = Duration.ofSeconds(1);
@@ -43,16 +42,16 @@
   private final ViewHolder views;
   private final ServerAdmin admin;
   private final WorkerPool workers;
-  private final Map<TermKey, HeldIndexes> tables = new ConcurrentHashMap<>();
-  private final Set<PollKey> polling = ConcurrentHashMap.newKeySet();
-  private final LongAdder polls = new LongAdder();
+  private final Map<TermKey, ReplicationProgress> progressByTerm = new ConcurrentHashMap<>();
+  private final Set<PollKey> activePolls = ConcurrentHashMap.newKeySet();
+  private final LongAdder pollCount = new LongAdder();
 
   /** Creates an acknowledger that follows the given views. */
   public MajorityAcknowledger(ViewHolder views, ServerAdmin admin, WorkerPool workers) {
     this.views = views;
     this.admin = admin;
     this.workers = workers;
-    views.onChange(this::dropReplacedTerms);
+    views.onChange(this::closeReplacedTerms);
   }
 
   /**
@@ -60,124 +59,131 @@
    *
    * @param term the term of the primary that answered
    * @param index the index of the write in the log of the group
-   * @return done once a majority holds the write; fails as {@code OUTCOME_UNKNOWN} when the primary
-   *     was replaced meanwhile or no majority confirmed in time
+   * @return completes once a majority holds the write; fails as {@code OUTCOME_UNKNOWN} when the
+   *     primary is replaced first or no majority confirms in time
    */
   public CompletableFuture<Void> await(GroupId group, long term, long index, Duration timeout) {
     TermKey key = new TermKey(group, term);
-    CompletableFuture<Void> held = new CompletableFuture<>();
-    HeldIndexes table = tables.computeIfAbsent(key, absent -> new HeldIndexes(term));
-    boolean dropped;
-    synchronized (table) {
-      dropped = table.closed();
-      if (!dropped) {
-        table.add(index, held);
+    CompletableFuture<Void> acknowledged = new CompletableFuture<>();
+    ReplicationProgress progress =
+        progressByTerm.computeIfAbsent(key, ignored -> new ReplicationProgress(term));
+    boolean closed;
+    synchronized (progress) {
+      closed = progress.closed();
+      if (!closed) {
+        progress.add(index, acknowledged);
       }
     }
-    if (dropped) {
-      // The term was dropped between the look-up and the lock; nobody else would end this write.
-      held.completeExceptionally(replaced(key));
-      return held;
+    if (closed) {
+      // The term was closed between the lookup and the lock, so no other thread completes this
+      // write.
+      acknowledged.completeExceptionally(primaryReplaced(key));
+      return acknowledged;
     }
-    advance(key, table, views.current());
-    if (held.isDone()) {
-      return held;
+    acknowledgeAndPoll(key, progress, views.current());
+    if (acknowledged.isDone()) {
+      return acknowledged;
     }
-    var timer = workers.schedule(timeout, () -> held.completeExceptionally(noMajority(timeout)));
-    held.whenComplete(
-        (done, failure) -> {
+    var timer =
+        workers.schedule(
+            timeout, () -> acknowledged.completeExceptionally(majorityTimeout(timeout)));
+    acknowledged.whenComplete(
+        (ignored, failure) -> {
           timer.cancel(false);
-          forget(table, index, held);
+          removePending(progress, index, acknowledged);
         });
-    return held;
+    return acknowledged;
   }
 
-  /** Returns how many polls were sent. */
-  public long polls() {
-    return polls.sum();
+  /** Returns the number of polls sent. */
+  public long pollCount() {
+    return pollCount.sum();
   }
 
-  private static void forget(HeldIndexes table, long index, CompletableFuture<Void> held) {
-    synchronized (table) {
-      table.remove(index, held);
+  private static void removePending(
+      ReplicationProgress progress, long index, CompletableFuture<Void> acknowledged) {
+    synchronized (progress) {
+      progress.remove(index, acknowledged);
     }
   }
 
-  /** Completes what a majority holds, and asks for the rest. */
-  private void advance(TermKey key, HeldIndexes table, View view) {
+  /** Completes the writes that a majority holds and polls the replicas for the others. */
+  private void acknowledgeAndPoll(TermKey key, ReplicationProgress progress, View view) {
     long viewTerm = view.group(key.group).map(GroupState::term).orElse(0L);
     if (viewTerm != key.term) {
-      drop(key, table);
+      closeTerm(key, progress);
       return;
     }
     List<ServerState> replicas = replicas(view, key.group);
-    List<CompletableFuture<Void>> done;
-    synchronized (table) {
-      done = table.takeUpTo(table.majorityIndex(ids(replicas)));
+    List<CompletableFuture<Void>> replicated;
+    synchronized (progress) {
+      replicated = progress.removeUpTo(progress.majorityIndex(ids(replicas)));
     }
-    done.forEach(write -> write.complete(null));
-    replicas.forEach(replica -> poll(key, table, replica));
+    replicated.forEach(write -> write.complete(null));
+    replicas.forEach(replica -> poll(key, progress, replica));
   }
 
   private static List<ServerState> replicas(View view, GroupId group) {
     ServerId primary = view.group(group).flatMap(GroupState::primary).orElse(null);
-    return view.serversOf(group).stream().filter(s -> !s.id().equals(primary)).toList();
+    return view.serversOf(group).stream().filter(server -> !server.id().equals(primary)).toList();
   }
 
   private static Collection<ServerId> ids(List<ServerState> servers) {
     return servers.stream().map(ServerState::id).toList();
   }
 
-  private void poll(TermKey key, HeldIndexes table, ServerState replica) {
+  private void poll(TermKey key, ReplicationProgress progress, ServerState replica) {
     PollKey poll = new PollKey(key, replica.id());
     OptionalLong next;
-    synchronized (table) {
-      next = table.nextFor(replica.id());
-      if (next.isEmpty() || !polling.add(poll)) {
+    synchronized (progress) {
+      next = progress.nextPendingIndex(replica.id());
+      if (next.isEmpty() || !activePolls.add(poll)) {
         return;
       }
     }
-    polls.increment();
+    pollCount.increment();
     admin
         .awaitPosition(
             replica.address(), new Position(key.term, next.getAsLong()), Progress.HELD, POLL_WAIT)
-        .whenComplete((report, failure) -> polled(key, table, poll, report));
+        .whenComplete((report, failure) -> handlePollResult(key, progress, poll, report));
   }
 
-  private void polled(TermKey key, HeldIndexes table, PollKey poll, ServerReport report) {
-    boolean progress;
-    synchronized (table) {
-      polling.remove(poll);
-      progress = report != null && report.server().equals(poll.replica) && table.report(report);
+  private void handlePollResult(
+      TermKey key, ReplicationProgress progress, PollKey poll, ServerReport report) {
+    boolean advanced;
+    synchronized (progress) {
+      activePolls.remove(poll);
+      advanced =
+          report != null && report.server().equals(poll.replica) && progress.recordReport(report);
     }
-    if (progress) {
-      advance(key, table, views.current());
+    if (advanced) {
+      acknowledgeAndPoll(key, progress, views.current());
     } else {
-      // A server that can't be reached, or answers at once without progress, would be asked again
-      // and again without a pause.
-      workers.schedule(RETRY_DELAY, () -> advance(key, table, views.current()));
+      // The delay avoids a busy loop on a server that is unreachable or answers immediately without
+      // progress.
+      workers.schedule(RETRY_DELAY, () -> acknowledgeAndPoll(key, progress, views.current()));
     }
   }
 
-  private void dropReplacedTerms(View view) {
-    tables.forEach(
-        (key, table) -> {
+  private void closeReplacedTerms(View view) {
+    progressByTerm.forEach(
+        (key, progress) -> {
           if (view.group(key.group).map(GroupState::term).orElse(0L) != key.term) {
-            drop(key, table);
+            closeTerm(key, progress);
           }
         });
   }
 
-  private void drop(TermKey key, HeldIndexes table) {
-    List<CompletableFuture<Void>> waiting;
-    synchronized (table) {
-      waiting = table.close();
+  private void closeTerm(TermKey key, ReplicationProgress progress) {
+    List<CompletableFuture<Void>> pending;
+    synchronized (progress) {
+      pending = progress.close();
     }
-    tables.remove(key, table);
-    waiting.forEach(write -> write.completeExceptionally(replaced(key)));
+    progressByTerm.remove(key, progress);
+    pending.forEach(write -> write.completeExceptionally(primaryReplaced(key)));
   }
 
-  private static AlderyardException replaced(TermKey key) {
+  private static AlderyardException primaryReplaced(TermKey key) {
     return new AlderyardException(
         ErrorCode.PRIMARY_REPLACED,
         Outcome.OUTCOME_UNKNOWN,
@@ -188,7 +194,7 @@
             + ", which was replaced before a majority held the write");
   }
 
-  private static AlderyardException noMajority(Duration timeout) {
+  private static AlderyardException majorityTimeout(Duration timeout) {
     return new AlderyardException(
         ErrorCode.NO_QUORUM,
         Outcome.OUTCOME_UNKNOWN,
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/write/RetryAction.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/write/RetryAction.java
@@ -1,11 +1,11 @@
 package org.alderyard.proxy.write;
 
-/** What follows on the failure of an attempt. */
+/** The action after a failed attempt. */
 enum RetryAction {
-  /** The caller gets the failure. */
+  /** Reports the failure to the caller. */
   GIVE_UP,
-  /** Another attempt after a short pause. */
+  /** Retries after a short delay. */
   RETRY,
-  /** Another attempt on the primary of a later term. */
+  /** Retries on the primary of a later term. */
   RETRY_IN_LATER_TERM
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/write/RetryDecision.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/write/RetryDecision.java
@@ -1,9 +1,9 @@
 package org.alderyard.proxy.write;
 
 /**
- * What follows on the failure of an attempt, and why.
+ * The action after a failed attempt, with its reason.
  *
- * @param action what follows
- * @param reason why
+ * @param action the action to take
+ * @param reason the reason for the action
  */
 record RetryDecision(RetryAction action, RetryReason reason) {}
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/write/RetryReason.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/write/RetryReason.java
@@ -1,17 +1,17 @@
 package org.alderyard.proxy.write;
 
-/** Why an attempt is repeated or not. */
+/** The reason why a failed attempt is retried or not. */
 enum RetryReason {
-  /** The failure is the same on every attempt. */
+  /** Every attempt would fail in the same way. */
   FINAL,
-  /** The write may have run, and nothing proves a second attempt harmless. */
+  /** The write may have run, and no ledger prevents a second run. */
   MAY_HAVE_RUN,
-  /** The time of the caller is over. */
+  /** The deadline of the caller has passed. */
   NO_TIME,
-  /** Resends are above their share of the traffic. */
+  /** The retry budget is exhausted. */
   NO_BUDGET,
-  /** The server said, or never heard, that nothing ran. */
+  /** The write did not run: the server refused it or never received it. */
   DID_NOT_RUN,
-  /** The ledger of the servers answers a write that ran without a second run. */
+  /** The ledger of the servers prevents a second run and returns the first result. */
   LEDGER_PROVES
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/write/WriteAdmission.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/write/WriteAdmission.java
@@ -3,41 +3,41 @@
 import java.util.concurrent.CompletableFuture;
 import org.alderyard.common.view.ServerState;
 
-/** Decides when a write may be sent to its primary; by default at once. */
+/** Limits when a write may be sent to its primary. */
 @FunctionalInterface
 public interface WriteAdmission {
-  /** Lets every write go at once. */
+  /** Admits every write immediately. */
   WriteAdmission OPEN =
-      (request, primary, deadlineNanos) -> CompletableFuture.completedFuture(new OpenTurn());
+      (request, primary, deadlineNanos) -> CompletableFuture.completedFuture(new UnlimitedPermit());
 
   /**
-   * Asks to send a write.
+   * Requests a permit to send a write.
    *
-   * @return a turn that the write must end; fails as {@code NOT_RUN} as soon as it is known that
-   *     the write will not be sent
+   * @return a permit that must be released exactly once; fails as {@code NOT_RUN} as soon as it is
+   *     known that the write will not be sent
    */
-  CompletableFuture<Turn> enter(WriteRequest request, ServerState primary, long deadlineNanos);
+  CompletableFuture<Permit> acquire(WriteRequest request, ServerState primary, long deadlineNanos);
 
-  /** The right to send one write; ended exactly once. */
-  interface Turn {
+  /** The right to send one write; must be released exactly once. */
+  interface Permit {
 
-    /** Ends it; whether the server answered tells how loaded the server is. */
-    void end(boolean answered);
+    /** Releases the permit of a sent write; whether the server answered indicates its load. */
+    void release(boolean answered);
 
-    /** Ends it without a statement having been sent. */
-    void notSent();
+    /** Releases the permit of a write that was not sent. */
+    void releaseUnsent();
   }
 
-  /** A turn that nobody waits for. */
-  record OpenTurn() implements Turn {
+  /** A permit without a limit. */
+  record UnlimitedPermit() implements Permit {
     @Override
-    public void end(boolean answered) {
-      // No gate counts it.
+    public void release(boolean answered) {
+      // No limiter counts this permit.
     }
 
     @Override
-    public void notSent() {
-      // No gate counts it.
+    public void releaseUnsent() {
+      // No limiter counts this permit.
     }
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/write/WriteAnswer.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/write/WriteAnswer.java
@@ -8,13 +8,13 @@
 /**
  * The answer to an acknowledged write.
  *
- * @param result the server's result, a JSON value
- * @param server the primary that ran it
- * @param position its entry in the log of the group
+ * @param result the result from the server, a JSON value
+ * @param server the primary that ran the write
+ * @param position the position of the write in the log of the group
  */
 public record WriteAnswer(JsonNode result, ServerId server, Position position) {
 
-  /** Checks. */
+  /** Rejects null components. */
   public WriteAnswer {
     Objects.requireNonNull(result);
     Objects.requireNonNull(server);
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/write/WritePath.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/write/WritePath.java
@@ -22,17 +22,18 @@
 
 /** Runs a write on the primary of its group and waits for its acknowledgement. */
 public final class WritePath {
-  private static final int MAX_WAITING_PER_GROUP = 1_000;
+  private static final int MAX_QUEUED_PER_GROUP = 1_000;
 
-  private final List<BiConsumer<GroupId, ServerId>> lostListeners = new CopyOnWriteArrayList<>();
-  private final WriteParts parts;
+  private final List<BiConsumer<GroupId, ServerId>> connectionLossListeners =
+      new CopyOnWriteArrayList<>();
+  private final WriteContext context;
 
   /**
-   * Creates the path.
+   * Creates a write path.
    *
-   * @param admission when a write may be sent
-   * @param ledgerOnServers whether all servers of a group record writes under their ledger keys
-   * @param viewLeaseValid whether the view may be acted on
+   * @param admission decides when a write may be sent
+   * @param hasServerLedger whether all servers of a group record writes under their ledger keys
+   * @param viewLeaseValid whether the view lease is valid
    */
   public WritePath(
       ViewHolder views,
@@ -40,58 +41,66 @@
       ServerAdmin admin,
       RetryBudget permits,
       WriteAdmission admission,
-      Predicate<GroupId> ledgerOnServers,
+      Predicate<GroupId> hasServerLedger,
       BooleanSupplier viewLeaseValid,
       WorkerPool workers,
       MonotonicClock clock) {
-    parts =
-        new WriteParts(
+    context =
+        new WriteContext(
             views,
             pools,
             new MajorityAcknowledger(views, admin, workers),
-            new PrimaryWaiters(views, workers, MAX_WAITING_PER_GROUP),
+            new PrimaryWaitQueue(views, workers, MAX_QUEUED_PER_GROUP),
             admission,
-            new Flights(views),
+            new InFlightWrites(views),
             permits,
-            ledgerOnServers,
+            hasServerLedger,
             viewLeaseValid,
-            (group, server) -> lostListeners.forEach(listener -> listener.accept(group, server)),
+            (group, server) ->
+                connectionLossListeners.forEach(listener -> listener.accept(group, server)),
             workers,
             clock);
   }
 
-  /** Adds a listener for each connection to a primary that was refused or broke under a write. */
+  /**
+   * Adds a listener that is called when a connection to a primary is refused or breaks during a
+   * write.
+   */
   public void onPrimaryLost(BiConsumer<GroupId, ServerId> listener) {
-    lostListeners.add(listener);
+    connectionLossListeners.add(listener);
   }
 
-  /** Runs a write; a failure is a typed error that tells the outcome. */
+  /** Runs a write; a failure is an {@link AlderyardException} with the outcome of the write. */
   public CompletableFuture<WriteAnswer> run(WriteRequest request) {
-    return new WriteRun(parts, request).start();
+    return new WriteRun(context, request).start();
   }
 
   /**
-   * Returns the primary of a group, and waits for one while there is none.
+   * Returns the primary of a group, or waits for one until the timeout.
    *
-   * @return fails as {@code NOT_RUN} when none comes in time or the view may not be acted on
+   * @return fails as {@code NOT_RUN} when no primary becomes available in time or the view lease
+   *     has expired
    */
-  public CompletableFuture<WriteTarget> primary(GroupId group, Duration timeout) {
-    if (!parts.viewLeaseValid().getAsBoolean()) {
+  public CompletableFuture<WriteTarget> awaitPrimary(GroupId group, Duration timeout) {
+    if (!context.viewLeaseValid().getAsBoolean()) {
       return CompletableFuture.failedFuture(
           AlderyardException.notRun(
-              ErrorCode.VIEW_LEASE_EXPIRED, "this proxy has lost touch with the control hosts"));
+              ErrorCode.VIEW_LEASE_EXPIRED, "this proxy has lost contact with the control hosts"));
     }
-    return parts.waiters().await(group, 0, timeout);
+    return context.primaryQueue().await(group, 0, timeout);
   }
 
-  /** Acknowledges what a primary answered; a failure says {@code OUTCOME_UNKNOWN}. */
+  /**
+   * Waits for the acknowledgement of a write that a primary has run; failures have the outcome
+   * {@code OUTCOME_UNKNOWN}.
+   */
   public CompletableFuture<WriteAnswer> acknowledge(
       PoolState pool, GroupId group, WriteTarget target, BackendAnswer answer, Duration timeout) {
-    return Acknowledgement.of(parts, pool, group, target, answer, timeout);
+    return Acknowledgement.of(context, pool, group, target, answer, timeout);
   }
 
-  /** Returns how many polls were sent to replicas for acknowledgements. */
+  /** Returns the number of acknowledgement polls sent to replicas. */
   public long acknowledgementPolls() {
-    return parts.majority().polls();
+    return context.acknowledger().pollCount();
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/write/WriteRequest.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/write/WriteRequest.java
@@ -11,15 +11,16 @@
 import org.alderyard.common.view.PoolState;
 
 /**
- * One write of a caller, for one database group.
+ * A write of a caller to one database group.
  *
  * @param pool the pool that the caller addressed
  * @param group the group that holds the key
- * @param key the key
- * @param text the statement
- * @param parameters its parameters, JSON values
- * @param ledgerKey the name of the request, if the caller gave one
- * @param requestedAtMillis when the caller first sent it, in milliseconds since 1970, if known
+ * @param key the key that selects the group
+ * @param text the text of the statement
+ * @param parameters the parameters of the statement, JSON values
+ * @param ledgerKey the caller and request ID, if the caller gave a request ID
+ * @param requestedAtMillis when the caller first sent the request, in milliseconds since 1970, if
+ *     known
  * @param timeout how long the caller waits
  */
 public record WriteRequest(
@@ -32,7 +33,7 @@
     OptionalLong requestedAtMillis,
     Duration timeout) {
 
-  /** Checks and copies. */
+  /** Rejects null components and copies the parameters. */
   public WriteRequest {
     Objects.requireNonNull(pool);
     Objects.requireNonNull(group);
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/write/WriteRun.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/write/WriteRun.java
@@ -15,39 +15,39 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One write on its way: its attempts one after another, and what is known of them. */
+/** Runs one write, with retries, and tracks whether any attempt may have run. */
 final class WriteRun {
   private static final Logger log = LoggerFactory.getLogger(WriteRun.class);
   private static final Duration RETRY_DELAY = Duration.ofMillis(20);
 
-  private final WriteParts parts;
+  private final WriteContext context;
   private final WriteRequest request;
   private final Deadline deadline;
   private final CompletableFuture<WriteAnswer> result = new CompletableFuture<>();
-  // Written by one attempt at a time; the next one starts in the callback of the last.
-  private volatile boolean doubt;
+  // Written by one attempt at a time; the next attempt starts in the callback of the previous one.
+  private volatile boolean mayHaveRun;
 
-  WriteRun(WriteParts parts, WriteRequest request) {
-    this.parts = parts;
+  WriteRun(WriteContext context, WriteRequest request) {
+    this.context = context;
     this.request = request;
-    deadline = Deadline.after(request.timeout(), parts.clock());
+    deadline = Deadline.after(request.timeout(), context.clock());
   }
 
   CompletableFuture<WriteAnswer> start() {
-    parts.permits().firstTry();
-    attempt(0);
+    context.permits().firstTry();
+    startAttempt(0);
     return result;
   }
 
-  private void attempt(long minTerm) {
-    if (!parts.viewLeaseValid().getAsBoolean()) {
-      // NOT_RUN holds: this attempt has been given to no connection.
+  private void startAttempt(long minTerm) {
+    if (!context.viewLeaseValid().getAsBoolean()) {
+      // NOT_RUN is accurate: this attempt was not given to a connection.
       giveUp(leaseExpired(), RetryReason.FINAL);
       return;
     }
-    parts
-        .waiters()
-        .await(request.group(), minTerm, deadline.remaining(parts.clock()))
+    context
+        .primaryQueue()
+        .await(request.group(), minTerm, deadline.remaining(context.clock()))
         .whenComplete(
             (target, failure) -> {
               if (failure != null) {
@@ -60,7 +60,7 @@
 
   private static AlderyardException leaseExpired() {
     return AlderyardException.notRun(
-        ErrorCode.VIEW_LEASE_EXPIRED, "this proxy has lost touch with the control hosts");
+        ErrorCode.VIEW_LEASE_EXPIRED, "this proxy has lost contact with the control hosts");
   }
 
   private void send(WriteTarget target) {
@@ -70,89 +70,92 @@
         request.group(),
         target.primary().id(),
         target.term());
-    Flights.Flight flight = parts.flights().begin(request.group(), target.term());
-    flight
+    InFlightWrites.Attempt attempt = context.inFlight().register(request.group(), target.term());
+    attempt
         .result()
         .whenComplete(
             (answer, failure) -> {
               if (failure == null) {
                 result.complete(answer);
               } else {
-                failed(Futures.typed(failure), target);
+                handleFailure(Futures.typed(failure), target);
               }
             });
-    parts
+    context
         .admission()
-        .enter(request, target.primary(), deadlineNanos())
-        .thenCompose(turn -> inTurn(turn, target, flight))
+        .acquire(request, target.primary(), deadlineNanos())
+        .thenCompose(permit -> runWithPermit(permit, target, attempt))
         .thenCompose(
             answer ->
                 Acknowledgement.of(
-                    parts,
+                    context,
                     request.pool(),
                     request.group(),
                     target,
                     answer,
-                    deadline.remaining(parts.clock())))
+                    deadline.remaining(context.clock())))
         .whenComplete(
             (answer, failure) -> {
               if (failure == null) {
-                flight.result().complete(answer);
+                attempt.result().complete(answer);
               } else {
-                flight.result().completeExceptionally(failure);
+                attempt.result().completeExceptionally(failure);
               }
             });
   }
 
   private long deadlineNanos() {
-    return parts.clock().nowNanos() + deadline.remaining(parts.clock()).toNanos();
+    return context.clock().nowNanos() + deadline.remaining(context.clock()).toNanos();
   }
 
-  private CompletableFuture<BackendAnswer> inTurn(
-      WriteAdmission.Turn turn, WriteTarget target, Flights.Flight flight) {
+  private CompletableFuture<BackendAnswer> runWithPermit(
+      WriteAdmission.Permit permit, WriteTarget target, InFlightWrites.Attempt attempt) {
     CompletableFuture<BackendAnswer> run;
     try {
       run =
-          parts
+          context
               .pools()
-              .take(target.primary(), deadline.remaining(parts.clock()))
-              .thenCompose(connection -> runOn(connection, target, flight));
+              .take(target.primary(), deadline.remaining(context.clock()))
+              .thenCompose(connection -> runOnConnection(connection, target, attempt));
     } catch (RuntimeException failure) {
       run = CompletableFuture.failedFuture(failure);
     }
-    return run.whenComplete((answer, failure) -> endTurn(turn, failure));
+    return run.whenComplete((answer, failure) -> releasePermit(permit, failure));
   }
 
-  /** A refusal by the server is an answer too; what was not run says nothing of its load. */
-  private static void endTurn(WriteAdmission.Turn turn, Throwable failure) {
+  /**
+   * Releases the permit. A refusal by the server is an answer too; an attempt that did not run says
+   * nothing about the load of the server.
+   */
+  private static void releasePermit(WriteAdmission.Permit permit, Throwable failure) {
     if (failure == null || Futures.unwrap(failure) instanceof BackendException) {
-      turn.end(true);
+      permit.release(true);
     } else if (Futures.typed(failure).outcome() == Outcome.NOT_RUN) {
-      turn.notSent();
+      permit.releaseUnsent();
     } else {
-      turn.end(false);
+      permit.release(false);
     }
   }
 
-  private CompletableFuture<BackendAnswer> runOn(
-      ServerConnection connection, WriteTarget target, Flights.Flight flight) {
-    Duration left = deadline.remaining(parts.clock());
-    if (left.isZero() || !flight.trySend(connection)) {
-      parts.pools().release(target.primary(), connection);
-      // NOT_RUN holds: the connection goes back without a byte of this write.
+  private CompletableFuture<BackendAnswer> runOnConnection(
+      ServerConnection connection, WriteTarget target, InFlightWrites.Attempt attempt) {
+    Duration timeLeft = deadline.remaining(context.clock());
+    if (timeLeft.isZero() || !attempt.tryMarkSent(connection)) {
+      context.pools().release(target.primary(), connection);
+      // NOT_RUN is accurate: the connection is returned without a byte of this write.
       return CompletableFuture.failedFuture(
           AlderyardException.notRun(
               ErrorCode.DEADLINE_EXCEEDED, "no connection was free before the deadline"));
     }
-    if (!parts.viewLeaseValid().getAsBoolean()) {
-      // The wait for a primary or a connection may have outlasted the lease. NOT_RUN holds as
-      // above.
-      parts.pools().release(target.primary(), connection);
+    if (!context.viewLeaseValid().getAsBoolean()) {
+      // The lease may have expired during the wait for a primary or a connection. NOT_RUN is
+      // accurate for the same reason as above.
+      context.pools().release(target.primary(), connection);
       return CompletableFuture.failedFuture(leaseExpired());
     }
     return connection
-        .run(statement(target.term()), left)
-        .whenComplete((answer, failure) -> parts.pools().release(target.primary(), connection));
+        .run(statement(target.term()), timeLeft)
+        .whenComplete((answer, failure) -> context.pools().release(target.primary(), connection));
   }
 
   private BackendStatement statement(long term) {
@@ -165,26 +168,27 @@
         request.ledgerKey());
   }
 
-  private void failed(AlderyardException failure, WriteTarget target) {
+  private void handleFailure(AlderyardException failure, WriteTarget target) {
     if (failure.code() == ErrorCode.CONNECTION_LOST) {
-      parts.onPrimaryLost().accept(request.group(), target.primary().id());
+      context.onPrimaryConnectionLost().accept(request.group(), target.primary().id());
     }
-    boolean ledgerProves =
-        request.ledgerKey().isPresent() && parts.ledgerOnServers().test(request.group());
+    boolean ledgerDeduplicates =
+        request.ledgerKey().isPresent() && context.hasServerLedger().test(request.group());
     RetryDecision decision =
-        RetryRule.decide(failure, ledgerProves, !deadline.over(parts.clock()), parts.permits());
-    doubt |= failure.outcome() == Outcome.OUTCOME_UNKNOWN;
+        RetryPolicy.decide(
+            failure, ledgerDeduplicates, !deadline.over(context.clock()), context.permits());
+    mayHaveRun |= failure.outcome() == Outcome.OUTCOME_UNKNOWN;
     switch (decision.action()) {
       case GIVE_UP -> giveUp(failure, decision.reason());
       case RETRY -> {
         logRetry(failure, decision);
-        parts.workers().schedule(RETRY_DELAY, () -> attempt(target.term()));
+        context.workers().schedule(RETRY_DELAY, () -> startAttempt(target.term()));
       }
       case RETRY_IN_LATER_TERM -> {
         logRetry(failure, decision);
-        attempt(target.term() + 1);
+        startAttempt(target.term() + 1);
       }
-      default -> throw new IllegalStateException("action " + decision.action());
+      default -> throw new IllegalStateException("unexpected action " + decision.action());
     }
   }
 
@@ -198,24 +202,24 @@
   }
 
   /**
-   * Ends the write with a failure.
+   * Fails the write.
    *
-   * <p>Guards against a false promise: once one attempt may have run, a later attempt that did not
-   * run, or failed, proves nothing of the write as a whole.
+   * <p>Once one attempt may have run, a later attempt that fails or does not run does not prove
+   * that the write did not run, so the outcome is reported as unknown.
    */
   private void giveUp(AlderyardException failure, RetryReason reason) {
-    boolean certain = failure.outcome() != Outcome.OUTCOME_UNKNOWN;
-    AlderyardException told =
-        doubt && certain
+    boolean outcomeKnown = failure.outcome() != Outcome.OUTCOME_UNKNOWN;
+    AlderyardException reported =
+        mayHaveRun && outcomeKnown
             ? AlderyardException.unknown(
                 failure.code(), "an earlier attempt may have run; " + failure.getMessage(), failure)
             : failure;
     log.info(
         "event=write-failed group={} code={} outcome={} reason={}",
         request.group(),
-        told.code(),
-        told.outcome(),
+        reported.code(),
+        reported.outcome(),
         reason);
-    result.completeExceptionally(told);
+    result.completeExceptionally(reported);
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/write/WriteTarget.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/write/WriteTarget.java
@@ -3,9 +3,9 @@
 import org.alderyard.common.view.ServerState;
 
 /**
- * Where a write goes.
+ * The primary that a write is sent to.
  *
- * @param primary the primary
- * @param term the term that it is primary of
+ * @param primary the server that is the primary
+ * @param term the term of the primary
  */
 public record WriteTarget(ServerState primary, long term) {}
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/write/package-info.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/write/package-info.java
@@ -1,2 +1,2 @@
-/** The path of a write: to the primary of its group's term, and to its acknowledgement. */
+/** The write path: sends a write to the primary of its group and waits for the acknowledgement. */
 package org.alderyard.proxy.write;
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/transaction/TransactionServiceTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/transaction/TransactionServiceTest.java
@@ -78,7 +78,7 @@
     clock.advance(LIMITS.idle());
     transactions.expire();
 
-    assertThat(servers.open).isEqualTo(0);
+    assertThat(servers.openConnections).isEqualTo(0);
     AlderyardException late = failureOf(() -> transactions.commit(id, PACKER, LONG));
     assertThat(late.code()).isEqualTo(ErrorCode.TRANSACTION_LOST);
     assertThat(late.outcome()).isEqualTo(Outcome.NOT_RUN);
@@ -87,7 +87,7 @@
   /** A script keeps its transaction busy for an hour: the total limit ends it all the same. */
   @Test
   void busyTransactionEndsAtItsTotalLimit() {
-    servers.does(statement -> new CompletableFuture<>());
+    servers.thenRun(statement -> new CompletableFuture<>());
     final TransactionId id = begin();
     transactions.run(id, PACKER, statement(), LONG);
     clock.advance(LIMITS.idle());
@@ -104,20 +104,20 @@
   /** The connection breaks under a statement: no commit was sent, so nothing has an effect. */
   @Test
   void brokenStatementLosesTheTransaction() {
-    servers.fails(BROKEN);
+    servers.thenFail(BROKEN);
     final TransactionId id = begin();
 
     AlderyardException failure = failureOf(() -> transactions.run(id, PACKER, statement(), LONG));
 
     assertThat(failure.code()).isEqualTo(ErrorCode.TRANSACTION_LOST);
     assertThat(failure.outcome()).isEqualTo(Outcome.NOT_RUN);
-    assertThat(servers.open).isEqualTo(0);
+    assertThat(servers.openConnections).isEqualTo(0);
   }
 
   /** The answer to a commit is lost: it may have been done, and stays unknown when asked again. */
   @Test
   void lostAnswerToCommitStaysUnknown() {
-    servers.fails(BROKEN);
+    servers.thenFail(BROKEN);
     final TransactionId id = begin();
 
     for (int sending = 0; sending < 2; sending++) {
@@ -131,7 +131,7 @@
   /** A caller sends two statements at once: the second must not use the busy connection. */
   @Test
   void secondRequestAtTheSameTimeIsRefused() {
-    servers.does(statement -> new CompletableFuture<BackendAnswer>());
+    servers.thenRun(statement -> new CompletableFuture<BackendAnswer>());
     final TransactionId id = begin();
     transactions.run(id, PACKER, statement(), LONG);
 
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/write/FakeReplicas.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/write/FakeReplicas.java
@@ -11,41 +11,41 @@
 import org.alderyard.common.id.Position;
 import org.alderyard.common.id.ServerId;
 
-/** Keeps the polls open until the test answers them. */
+/** A {@link ServerAdmin} whose polls stay open until the test answers them. */
 public final class FakeReplicas implements ServerAdmin {
-  private final Map<ServerId, CompletableFuture<ServerReport>> open = new HashMap<>();
-  private final Map<ServerId, Position> asked = new HashMap<>();
-  private final Map<ServerId, Integer> polls = new HashMap<>();
+  private final Map<ServerId, CompletableFuture<ServerReport>> openPolls = new HashMap<>();
+  private final Map<ServerId, Position> requestedPositions = new HashMap<>();
+  private final Map<ServerId, Integer> pollCounts = new HashMap<>();
 
-  /** Answers the poll of a server; the answer is the server's report. */
+  /** Answers the open poll of the server that the report is from. */
   void answer(ServerReport report) {
     CompletableFuture<ServerReport> poll;
     synchronized (this) {
-      poll = open.remove(report.server());
+      poll = openPolls.remove(report.server());
     }
     poll.complete(report);
   }
 
-  synchronized boolean polling(ServerId server) {
-    return open.containsKey(server);
+  synchronized boolean hasOpenPoll(ServerId server) {
+    return openPolls.containsKey(server);
   }
 
-  synchronized Position asked(ServerId server) {
-    return asked.get(server);
+  synchronized Position requestedPosition(ServerId server) {
+    return requestedPositions.get(server);
   }
 
-  synchronized int polls(ServerId server) {
-    return polls.getOrDefault(server, 0);
+  synchronized int pollCount(ServerId server) {
+    return pollCounts.getOrDefault(server, 0);
   }
 
   @Override
   public synchronized CompletableFuture<ServerReport> awaitPosition(
       InetSocketAddress server, Position position, Progress progress, Duration wait) {
-    ServerId id = TestGroup.at(server);
-    polls.merge(id, 1, Integer::sum);
-    asked.put(id, position);
+    ServerId id = TestGroup.serverAt(server);
+    pollCounts.merge(id, 1, Integer::sum);
+    requestedPositions.put(id, position);
     CompletableFuture<ServerReport> poll = new CompletableFuture<>();
-    open.put(id, poll);
+    openPolls.put(id, poll);
     return poll;
   }
 
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/write/FakeServers.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/write/FakeServers.java
@@ -16,23 +16,23 @@
 import org.alderyard.common.id.Position;
 import org.alderyard.common.id.ServerId;
 
-/** Connections that answer as the test says, one step for each statement. */
+/** A {@link ServerConnector} whose connections answer from a script, one step per statement. */
 public final class FakeServers implements ServerConnector {
-  /** A statement and the server that got it. */
+  /** A statement and the server that received it. */
   public record Sent(ServerId server, BackendStatement statement) {}
 
-  /** What was sent, in order. */
+  /** The statements sent, in order. */
   public final List<Sent> sent = new ArrayList<>();
 
-  /** How many connections are open. */
-  public int open;
+  /** The number of open connections. */
+  public int openConnections;
 
-  private final Deque<Function<BackendStatement, CompletableFuture<BackendAnswer>>> script =
+  private final Deque<Function<BackendStatement, CompletableFuture<BackendAnswer>>> steps =
       new ArrayDeque<>();
 
-  /** The next statement is answered with this position. */
-  public FakeServers answers(long term, long index) {
-    script.add(
+  /** Answers the next statement with a position. */
+  public FakeServers thenAnswer(long term, long index) {
+    steps.add(
         statement ->
             CompletableFuture.completedFuture(
                 new BackendAnswer(
@@ -40,22 +40,22 @@
     return this;
   }
 
-  /** The next statement fails. */
-  public FakeServers fails(RuntimeException failure) {
-    script.add(statement -> CompletableFuture.failedFuture(failure));
+  /** Fails the next statement. */
+  public FakeServers thenFail(RuntimeException failure) {
+    steps.add(statement -> CompletableFuture.failedFuture(failure));
     return this;
   }
 
-  /** The next statement does what the step says. */
-  public FakeServers does(Function<BackendStatement, CompletableFuture<BackendAnswer>> step) {
-    script.add(step);
+  /** Runs a step for the next statement. */
+  public FakeServers thenRun(Function<BackendStatement, CompletableFuture<BackendAnswer>> step) {
+    steps.add(step);
     return this;
   }
 
   @Override
   public CompletableFuture<ServerConnection> connect(InetSocketAddress address, Duration timeout) {
-    open++;
-    return CompletableFuture.completedFuture(new Connection(TestGroup.at(address)));
+    openConnections++;
+    return CompletableFuture.completedFuture(new Connection(TestGroup.serverAt(address)));
   }
 
   private final class Connection implements ServerConnection {
@@ -69,7 +69,7 @@
     @Override
     public CompletableFuture<BackendAnswer> run(BackendStatement statement, Duration timeout) {
       sent.add(new Sent(server, statement));
-      return script.remove().apply(statement);
+      return steps.remove().apply(statement);
     }
 
     @Override
@@ -79,7 +79,7 @@
 
     @Override
     public CompletableFuture<BackendAnswer> commit(Duration timeout) {
-      return script.remove().apply(null);
+      return steps.remove().apply(null);
     }
 
     @Override
@@ -95,7 +95,7 @@
     @Override
     public void close() {
       if (!closed) {
-        open--;
+        openConnections--;
       }
       closed = true;
     }
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/write/MajorityAcknowledgerTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/write/MajorityAcknowledgerTest.java
@@ -23,18 +23,18 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** When a write counts as held by a majority, and what it costs to know. */
+/** Tests when a write counts as held by a majority, and how many polls that takes. */
 class MajorityAcknowledgerTest {
-  private static final Duration LONG = Duration.ofMinutes(1);
+  private static final Duration TIMEOUT = Duration.ofMinutes(1);
 
   private final WorkerPool workers = new WorkerPool("test", 1);
   private final TestGroup group = new TestGroup();
   private final FakeReplicas replicas = new FakeReplicas();
-  private MajorityAcknowledger majority;
+  private MajorityAcknowledger acknowledger;
 
   @BeforeEach
   void start() {
-    majority = new MajorityAcknowledger(group.views, replicas, workers);
+    acknowledger = new MajorityAcknowledger(group.views, replicas, workers);
     group.publish(1, Optional.of(A));
   }
 
@@ -44,89 +44,89 @@
   }
 
   /**
-   * A sale begins and 100 orders arrive while a replica is slow. If each order asked the replicas
-   * for itself, 200 requests would go out; one open question for each replica covers all of them.
+   * Guards against one poll per pending write: 100 writes arrive while a replica is slow, and would
+   * cause 200 polls. One open poll per replica covers all of them.
    */
   @Test
   void onePollForEachReplicaCoversAllWaitingWrites() {
     List<CompletableFuture<Void>> writes = new ArrayList<>();
     for (long index = 1; index <= 100; index++) {
-      writes.add(majority.await(GROUP, 1, index, LONG));
+      writes.add(acknowledger.await(GROUP, 1, index, TIMEOUT));
     }
-    assertThat(replicas.polls(B)).isEqualTo(1);
-    assertThat(replicas.polls(C)).isEqualTo(1);
+    assertThat(replicas.pollCount(B)).isEqualTo(1);
+    assertThat(replicas.pollCount(C)).isEqualTo(1);
 
-    replicas.answer(TestGroup.replica(B, 1, new Position(1, 60), 1));
+    replicas.answer(TestGroup.replicaReport(B, 1, new Position(1, 60), 1));
 
     assertThat(writes.stream().filter(CompletableFuture::isDone).count()).isEqualTo(60);
-    assertThat(replicas.asked(B)).isEqualTo(new Position(1, 61));
-    replicas.answer(TestGroup.replica(B, 1, new Position(1, 100), 1));
+    assertThat(replicas.requestedPosition(B)).isEqualTo(new Position(1, 61));
+    replicas.answer(TestGroup.replicaReport(B, 1, new Position(1, 100), 1));
     assertThat(writes.stream().allMatch(CompletableFuture::isDone)).isTrue();
-    assertThat(majority.polls()).isEqualTo(3);
+    assertThat(acknowledger.pollCount()).isEqualTo(3);
   }
 
-  /** A write that a replica is known to hold already is acknowledged without a question. */
+  /** A write that a replica is already known to hold is acknowledged without a poll. */
   @Test
   void knownIndexNeedsNoPoll() {
-    majority.await(GROUP, 1, 7, LONG);
-    replicas.answer(TestGroup.replica(B, 1, new Position(1, 9), 1));
+    acknowledger.await(GROUP, 1, 7, TIMEOUT);
+    replicas.answer(TestGroup.replicaReport(B, 1, new Position(1, 9), 1));
 
-    assertThat(majority.await(GROUP, 1, 8, LONG).isDone()).isTrue();
-    assertThat(majority.polls()).isEqualTo(2);
+    assertThat(acknowledger.await(GROUP, 1, 8, TIMEOUT).isDone()).isTrue();
+    assertThat(acknowledger.pollCount()).isEqualTo(2);
   }
 
   /**
-   * The old primary comes back as a replica. It names the new term at once, but its log still ends
-   * with ten entries of its own that nobody else holds. A new order gets index 6; the replica says
-   * that it holds index 10. Counted, the order would be acknowledged with one copy.
+   * A replaced primary returns as a replica and reports the new term, while its log still ends with
+   * ten entries that no other server holds. If its index 10 counted, a new write at index 6 would
+   * be acknowledged with one copy.
    */
   @Test
   void tailOfReplacedPrimaryDoesNotCount() {
     group.publish(2, Optional.of(B));
-    CompletableFuture<Void> write = majority.await(GROUP, 2, 6, LONG);
+    CompletableFuture<Void> write = acknowledger.await(GROUP, 2, 6, TIMEOUT);
 
-    replicas.answer(TestGroup.replica(A, 2, new Position(1, 10), 1));
+    replicas.answer(TestGroup.replicaReport(A, 2, new Position(1, 10), 1));
     assertThat(write.isDone()).isFalse();
 
-    replicas.answer(TestGroup.replica(C, 2, new Position(2, 6), 2));
+    replicas.answer(TestGroup.replicaReport(C, 2, new Position(2, 6), 2));
     assertThat(write.isDone()).isTrue();
   }
 
   /**
-   * The primary sleeps, is replaced, wakes and runs an order that was under way to it. Its replica
-   * held the index before it was fenced at term 2; its answer names term 2 and must not count.
+   * A suspended primary is replaced, resumes and runs a write that was in flight. Its replica held
+   * the index before it was fenced at term 2, so a report of term 2 must not count.
    */
   @Test
   void replicaOfHigherTermDoesNotCount() {
-    CompletableFuture<Void> write = majority.await(GROUP, 1, 4, LONG);
+    CompletableFuture<Void> write = acknowledger.await(GROUP, 1, 4, TIMEOUT);
 
-    replicas.answer(TestGroup.replica(B, 2, new Position(1, 4), 1));
-    replicas.answer(TestGroup.replica(C, 2, new Position(1, 4), 1));
+    replicas.answer(TestGroup.replicaReport(B, 2, new Position(1, 4), 1));
+    replicas.answer(TestGroup.replicaReport(C, 2, new Position(1, 4), 1));
 
     assertThat(write.isDone()).isFalse();
   }
 
   /**
-   * An order ran on the primary, and the primary is replaced before a replica has the order. The
-   * caller must not wait for its deadline: it is told at once that the outcome is not known.
+   * The primary is replaced after it ran a write and before a replica holds it. The caller must
+   * receive an unknown outcome immediately and not at its deadline.
    */
   @Test
-  void replacedPrimaryLeavesUnknownOutcomeAtOnce() {
-    CompletableFuture<Void> write = majority.await(GROUP, 1, 4, LONG);
+  void replacedPrimaryFailsWriteImmediatelyAsUnknown() {
+    CompletableFuture<Void> write = acknowledger.await(GROUP, 1, 4, TIMEOUT);
 
     group.publish(2, Optional.of(B));
 
     AlderyardException failure = failureOf(write);
     assertThat(failure.code()).isEqualTo(ErrorCode.PRIMARY_REPLACED);
     assertThat(failure.outcome()).isEqualTo(Outcome.OUTCOME_UNKNOWN);
-    assertThat(failureOf(majority.await(GROUP, 1, 5, LONG)).code())
+    assertThat(failureOf(acknowledger.await(GROUP, 1, 5, TIMEOUT)).code())
         .isEqualTo(ErrorCode.PRIMARY_REPLACED);
   }
 
-  /** Both replicas are cut off: the caller learns at its deadline that the outcome is unknown. */
+  /** Without reachable replicas, the write fails at its deadline with an unknown outcome. */
   @Test
   void noMajorityInTimeIsUnknown() {
-    AlderyardException failure = failureOf(majority.await(GROUP, 1, 4, Duration.ofMillis(10)));
+    AlderyardException failure = failureOf(acknowledger.await(GROUP, 1, 4, Duration.ofMillis(10)));
 
     assertThat(failure.code()).isEqualTo(ErrorCode.NO_QUORUM);
     assertThat(failure.outcome()).isEqualTo(Outcome.OUTCOME_UNKNOWN);
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/write/TestGroup.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/write/TestGroup.java
@@ -22,24 +22,24 @@
 import org.alderyard.common.view.WriteAcknowledgement;
 import org.alderyard.proxy.view.ViewHolder;
 
-/** One group of the servers a, b and c, and the views of it that a test needs. */
+/** A group of the servers a, b and c, and the views that a test publishes of it. */
 public final class TestGroup {
-  /** The group. */
+  /** The only group. */
   public static final GroupId GROUP = new GroupId("g");
 
-  /** A server. */
+  /** The first server of the group. */
   public static final ServerId A = new ServerId("a");
 
   static final ServerId B = new ServerId("b");
   static final ServerId C = new ServerId("c");
   private static final List<ServerId> SERVERS = List.of(A, B, C);
 
-  /** What the proxy acts on. */
+  /** The views that the proxy under test uses. */
   public final ViewHolder views = new ViewHolder();
 
   private long version;
 
-  /** Publishes a view of the group with this term and primary. */
+  /** Publishes a view of the group with a term and a primary. */
   public void publish(long term, Optional<ServerId> primary) {
     publish(term, primary, ServerStatus.ACTIVE);
   }
@@ -65,17 +65,17 @@
     return new InetSocketAddress("127.0.0.1", 1_000 + SERVERS.indexOf(id));
   }
 
-  static ServerId at(InetSocketAddress address) {
+  static ServerId serverAt(InetSocketAddress address) {
     return SERVERS.get(address.getPort() - 1_000);
   }
 
-  /** Returns a pool over the group. */
+  /** Returns a pool that contains only the group. */
   public static PoolState pool(WriteAcknowledgement acknowledgement) {
     return new PoolState(new PoolName("orders"), List.of(GROUP), acknowledgement, 1_000, 0);
   }
 
-  /** Returns a replica's report of a log that ends with this entry. */
-  static ServerReport replica(ServerId id, long term, Position held, long lastTermStart) {
+  /** Returns the report of a replica whose log ends at the given position. */
+  static ServerReport replicaReport(ServerId id, long term, Position held, long lastTermStart) {
     return new ServerReport(
         id,
         1,
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/write/WritePathTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/write/WritePathTest.java
@@ -32,16 +32,16 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** What a caller is told of a write when its primary fails, moves or was full. */
+/** Tests the outcome of a write whose primary fails, is replaced or is full. */
 class WritePathTest {
-  private static final Duration LONG = Duration.ofMinutes(1);
-  private static final AlderyardException BROKEN =
+  private static final Duration TIMEOUT = Duration.ofMinutes(1);
+  private static final AlderyardException CONNECTION_BROKEN =
       AlderyardException.unknown(ErrorCode.CONNECTION_LOST, "broken", null);
 
   private final WorkerPool workers = new WorkerPool("test", 1);
   private final TestGroup group = new TestGroup();
   private final FakeServers servers = new FakeServers();
-  private boolean ledger;
+  private boolean hasServerLedger;
   private boolean leaseValid = true;
   private final WritePath writes =
       new WritePath(
@@ -50,7 +50,7 @@
           new FakeReplicas(),
           new RetryBudget(1, 5),
           WriteAdmission.OPEN,
-          id -> ledger,
+          id -> hasServerLedger,
           () -> leaseValid,
           workers,
           MonotonicClock.system());
@@ -61,14 +61,14 @@
   }
 
   /**
-   * A failover runs: the group has no primary for a moment. An order that arrives meanwhile waits
-   * and runs on the new primary; its caller sees a slow answer and no error.
+   * A write that arrives during a failover, while the group has no primary, waits and runs on the
+   * new primary.
    */
   @Test
   void writeWaitsForNewPrimary() {
-    servers.answers(2, 1);
+    servers.thenAnswer(2, 1);
     group.publish(1, Optional.empty());
-    CompletableFuture<WriteAnswer> write = writes.run(order(LONG));
+    CompletableFuture<WriteAnswer> write = writes.run(order(TIMEOUT));
     assertThat(write.isDone()).isFalse();
 
     group.publish(2, Optional.of(B));
@@ -77,14 +77,14 @@
   }
 
   /**
-   * The proxy's view is a moment old: the primary it knows has just been fenced and refuses the
-   * order. Nothing ran, so the order goes to the primary of the next term, and not earlier.
+   * The view is stale: the known primary was just fenced and refuses the write. The write did not
+   * run, so it is sent to the primary of the next term, and not before that.
    */
   @Test
-  void refusalOfFencedPrimaryMovesToLaterTerm() {
-    servers.fails(new BackendException(Refusal.NOT_PRIMARY, "fenced")).answers(2, 1);
+  void refusalOfFencedPrimaryIsRetriedInLaterTerm() {
+    servers.thenFail(new BackendException(Refusal.NOT_PRIMARY, "fenced")).thenAnswer(2, 1);
     group.publish(1, Optional.of(A));
-    CompletableFuture<WriteAnswer> write = writes.run(order(LONG));
+    CompletableFuture<WriteAnswer> write = writes.run(order(TIMEOUT));
     assertThat(servers.sent).hasSize(1);
 
     group.publish(2, Optional.of(B));
@@ -94,16 +94,16 @@
   }
 
   /**
-   * The primary's process is stopped with an order on its connection, and wakes after it was
-   * replaced. The caller is told at once that the outcome is unknown, not at its deadline; the
-   * answer that comes after the wake is never passed on as an acknowledgement.
+   * The primary is suspended with a write in flight, and resumes after its replacement. The caller
+   * receives an unknown outcome immediately and not at its deadline, and the late answer is never
+   * passed on as an acknowledgement.
    */
   @Test
-  void stoppedPrimaryEndsWriteAtItsReplacement() {
-    CompletableFuture<BackendAnswer> asleep = new CompletableFuture<>();
-    servers.does(statement -> asleep);
+  void writeOnSuspendedPrimaryFailsWhenPrimaryIsReplaced() {
+    CompletableFuture<BackendAnswer> lateAnswer = new CompletableFuture<>();
+    servers.thenRun(statement -> lateAnswer);
     group.publish(1, Optional.of(A));
-    CompletableFuture<WriteAnswer> write = writes.run(order(LONG));
+    CompletableFuture<WriteAnswer> write = writes.run(order(TIMEOUT));
     assertThat(write.isDone()).isFalse();
 
     group.publish(2, Optional.empty());
@@ -111,20 +111,23 @@
     AlderyardException failure = failureOf(write);
     assertThat(failure.code()).isEqualTo(ErrorCode.PRIMARY_REPLACED);
     assertThat(failure.outcome()).isEqualTo(Outcome.OUTCOME_UNKNOWN);
-    asleep.complete(new BackendAnswer(JsonNodeFactory.instance.nullNode(), new Position(1, 1)));
+    lateAnswer.complete(new BackendAnswer(JsonNodeFactory.instance.nullNode(), new Position(1, 1)));
     assertThat(failureOf(write)).isEqualTo(failure);
-    servers.answers(2, 1);
+    servers.thenAnswer(2, 1);
     group.publish(2, Optional.of(B));
-    assertThat(writes.run(order(LONG)).join().server()).isEqualTo(B);
+    assertThat(writes.run(order(TIMEOUT)).join().server()).isEqualTo(B);
   }
 
-  /** The same with servers that keep a ledger: the order is sent again under its name. */
+  /**
+   * When the servers keep a ledger, a write in flight on a suspended primary is resent under its
+   * request ID.
+   */
   @Test
-  void ledgerResendsWriteOfStoppedPrimary() {
-    ledger = true;
-    servers.does(statement -> new CompletableFuture<>()).answers(2, 1);
+  void writeOnSuspendedPrimaryIsResentWithServerLedger() {
+    hasServerLedger = true;
+    servers.thenRun(statement -> new CompletableFuture<>()).thenAnswer(2, 1);
     group.publish(1, Optional.of(A));
-    CompletableFuture<WriteAnswer> write = writes.run(order(LONG));
+    CompletableFuture<WriteAnswer> write = writes.run(order(TIMEOUT));
 
     group.publish(2, Optional.of(B));
 
@@ -132,7 +135,7 @@
     assertThat(servers.sent).hasSize(2);
   }
 
-  /** No primary comes before the deadline: the order was given to no server, and is told so. */
+  /** Without a primary before the deadline, the write is sent to no server and fails as NOT_RUN. */
   @Test
   void noPrimaryBeforeDeadlineIsNotRun() {
     group.publish(1, Optional.empty());
@@ -145,7 +148,7 @@
     assertThat(servers.sent).isEmpty();
   }
 
-  /** The primary says that it leaves: it gets no new order, which waits for the next primary. */
+  /** A leaving primary receives no new write; the write waits for the next primary. */
   @Test
   void leavingPrimaryGetsNoNewWrite() {
     group.publish(1, Optional.of(A), ServerStatus.LEAVING);
@@ -155,56 +158,58 @@
     assertThat(servers.sent).isEmpty();
   }
 
-  /** The connection breaks after an order was sent: it is sent once, and the outcome is unknown. */
+  /** After a broken connection, a sent write is not resent and its outcome is unknown. */
   @Test
-  void brokenConnectionIsUnknownAndNotSentAgain() {
-    servers.fails(BROKEN);
+  void brokenConnectionIsUnknownAndNotResent() {
+    servers.thenFail(CONNECTION_BROKEN);
     group.publish(1, Optional.of(A));
 
-    assertThat(failureOf(writes.run(order(LONG))).outcome()).isEqualTo(Outcome.OUTCOME_UNKNOWN);
+    assertThat(failureOf(writes.run(order(TIMEOUT))).outcome()).isEqualTo(Outcome.OUTCOME_UNKNOWN);
     assertThat(servers.sent).hasSize(1);
   }
 
   /**
-   * The connection breaks, the servers keep a ledger: the order is sent again under the same name,
-   * and the answer of the ledger is the answer of the first run.
+   * After a broken connection, with servers that keep a ledger, the write is resent under the same
+   * request ID, and the answer from the ledger is that of the first run.
    */
   @Test
-  void ledgerAnswersAfterBrokenConnection() {
-    ledger = true;
-    servers.fails(BROKEN).answers(1, 7);
+  void brokenConnectionIsResentWithServerLedger() {
+    hasServerLedger = true;
+    servers.thenFail(CONNECTION_BROKEN).thenAnswer(1, 7);
     group.publish(1, Optional.of(A));
 
-    assertThat(writes.run(order(LONG)).join().position().index()).isEqualTo(7);
+    assertThat(writes.run(order(TIMEOUT)).join().position().index()).isEqualTo(7);
     assertThat(servers.sent.get(1).statement()).isEqualTo(servers.sent.get(0).statement());
   }
 
   /**
-   * The first attempt breaks, the second one is refused as not run. The first may still have run,
-   * so the caller must not be told that the order did not.
+   * The first attempt breaks and the second is refused as not run. The first may have run, so the
+   * outcome must be unknown and not NOT_RUN.
    */
   @Test
-  void refusalAfterDoubtStaysUnknown() {
-    ledger = true;
-    servers.fails(BROKEN).fails(new BackendException(Refusal.STATEMENT_FAILED, "wrong"));
+  void refusalAfterUnknownAttemptStaysUnknown() {
+    hasServerLedger = true;
+    servers
+        .thenFail(CONNECTION_BROKEN)
+        .thenFail(new BackendException(Refusal.STATEMENT_FAILED, "wrong"));
     group.publish(1, Optional.of(A));
 
-    assertThat(failureOf(writes.run(order(LONG))).outcome()).isEqualTo(Outcome.OUTCOME_UNKNOWN);
+    assertThat(failureOf(writes.run(order(TIMEOUT))).outcome()).isEqualTo(Outcome.OUTCOME_UNKNOWN);
   }
 
   /**
-   * A pool acknowledges by its primary alone. The primary sleeps while it runs an order, is
-   * replaced, wakes and answers: the order may be lost, so it must not be acknowledged.
+   * Guards against a lost acknowledged write in a pool that acknowledges by the primary alone: the
+   * primary is suspended during a write, replaced, and answers after it resumes.
    */
   @Test
   void answerOfReplacedPrimaryIsNotAcknowledged() {
-    CompletableFuture<org.alderyard.backend.BackendAnswer> slow = new CompletableFuture<>();
-    servers.does(statement -> slow);
+    CompletableFuture<org.alderyard.backend.BackendAnswer> lateAnswer = new CompletableFuture<>();
+    servers.thenRun(statement -> lateAnswer);
     group.publish(1, Optional.of(A));
-    CompletableFuture<WriteAnswer> write = writes.run(order(LONG));
+    CompletableFuture<WriteAnswer> write = writes.run(order(TIMEOUT));
     group.publish(2, Optional.of(B));
 
-    slow.complete(
+    lateAnswer.complete(
         new org.alderyard.backend.BackendAnswer(
             com.fasterxml.jackson.databind.node.NullNode.instance,
             new org.alderyard.common.id.Position(1, 4)));
@@ -214,24 +219,25 @@
     assertThat(failure.outcome()).isEqualTo(Outcome.OUTCOME_UNKNOWN);
   }
 
-  /** A proxy that is cut off from the control hosts sends nothing on an old view. */
+  /** A proxy that is isolated from the control hosts sends nothing based on an old view. */
   @Test
   void expiredViewLeaseIsNotRun() {
     leaseValid = false;
     group.publish(1, Optional.of(A));
 
-    assertThat(failureOf(writes.run(order(LONG))).code()).isEqualTo(ErrorCode.VIEW_LEASE_EXPIRED);
+    assertThat(failureOf(writes.run(order(TIMEOUT))).code())
+        .isEqualTo(ErrorCode.VIEW_LEASE_EXPIRED);
     assertThat(servers.sent).isEmpty();
   }
 
   /**
-   * A proxy is cut off while an order waits for a primary. The new primary that it hears of comes
-   * from a host that is not confirmed, so the order must not go there.
+   * The view lease expires while a write waits for a primary. The view with the new primary is not
+   * confirmed, so the write must not be sent there.
    */
   @Test
-  void leaseThatExpiresDuringTheWaitIsNotRun() {
+  void leaseExpiredDuringWaitIsNotRun() {
     group.publish(1, Optional.empty());
-    CompletableFuture<WriteAnswer> write = writes.run(order(LONG));
+    CompletableFuture<WriteAnswer> write = writes.run(order(TIMEOUT));
     leaseValid = false;
     group.publish(2, Optional.of(B));
 
