--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/ledger/Admission.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/ledger/Admission.java
@@ -4,26 +4,27 @@
 import org.alderyard.proxy.write.WriteAnswer;
 
 /**
- * What the ledger says to a request.
+ * The decision of the ledger about a request.
  *
- * @param kind what follows
- * @param outcome what becomes of the one run of the request; null unless it runs or has run
+ * @param kind the decision
+ * @param outcome the outcome of the only run of the request; null unless the request runs or has
+ *     run
  */
 record Admission(Kind kind, CompletableFuture<WriteAnswer> outcome) {
 
-  /** What follows. */
+  /** The kinds of decisions. */
   enum Kind {
-    /** It is new: the asker runs it and completes the outcome. */
+    /** The request is new: the owner runs it and completes the outcome. */
     RUN,
-    /** It was admitted before: the outcome is the answer. */
+    /** The request was admitted before: the outcome is the answer. */
     REPEATED,
-    /** The id was used for other content. */
+    /** The ID was used for other content. */
     REUSED,
-    /** It is older than the ledger remembers. */
+    /** The request is older than the retention of the ledger. */
     TOO_OLD,
-    /** It names a time that has not come. */
+    /** The request has a timestamp in the future. */
     IN_FUTURE,
-    /** The owner before this one may have admitted it. */
+    /** A previous owner may have admitted the request. */
     OWNER_CHANGED,
     /** The ledger is full. */
     FULL
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/ledger/LedgerLimits.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/ledger/LedgerLimits.java
@@ -3,14 +3,13 @@
 import java.time.Duration;
 
 /**
- * What the ledger of a proxy keeps, and for how long.
+ * The limits of the ledger of a proxy.
  *
- * @param retention how long after its first sending a request can be sent again; later it is
- *     refused
- * @param clockSkew how far the clocks of callers and proxies may be apart
- * @param viewLease how long a proxy may act on a view after it was replaced
- * @param maxRequests the most requests that are kept; past them new ones are refused
- * @param maxResultBytes the most bytes of kept results; past them new requests are refused
+ * @param retention how long after it was first sent a request may be resent; later it is rejected
+ * @param clockSkew the maximum difference between the clocks of callers and proxies
+ * @param viewLease how long a proxy may use a view after the view was replaced
+ * @param maxRequests the maximum number of requests kept; beyond it, new requests are rejected
+ * @param maxResultBytes the maximum size of the kept results; beyond it, new requests are rejected
  */
 public record LedgerLimits(
     Duration retention,
@@ -19,7 +18,7 @@
     int maxRequests,
     long maxResultBytes) {
 
-  /** The limits that hold unless another set is given. */
+  /** The default limits. */
   public static final LedgerLimits DEFAULT =
       new LedgerLimits(
           Duration.ofMinutes(10),
@@ -29,11 +28,11 @@
           64L * 1024 * 1024);
 
   /**
-   * Returns how long after a change of owner a request may still be one that the old owner ran.
+   * Returns how long after a change of owner a request may still have run at the previous owner.
    *
-   * <p>The old owner acts on its view for one lease. A change that is taken back may stay unseen
-   * for one lease more by a proxy that never lost its own. A clock is ahead by the skew at both
-   * ends.
+   * <p>The previous owner uses its view for up to one lease. A proxy whose own lease never expired
+   * may miss a change that is reverted within one more lease. The clocks at both ends may be ahead
+   * by the skew.
    */
   Duration ownerChangeFence() {
     return viewLease.multipliedBy(2).plus(clockSkew.multipliedBy(2));
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/ledger/LedgerSupport.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/ledger/LedgerSupport.java
@@ -10,14 +10,15 @@
 /**
  * Tells whether all servers of a group record writes under their ledger keys.
  *
- * <p>One server without this ability is enough for a no: it may be the next primary, and would run
- * a resent write again. A server that was not heard of yet counts as one without it.
+ * <p>A single server without this ability is enough to return false: it may become the primary and
+ * would run a resent write again. A server that has not reported yet counts as one without the
+ * ability.
  */
 public final class LedgerSupport implements Predicate<GroupId> {
   private final ViewHolder views;
   private final GroupMonitor monitor;
 
-  /** Reads the abilities out of what the monitor heard. */
+  /** Creates a predicate over the latest reports of the monitor. */
   public LedgerSupport(ViewHolder views, GroupMonitor monitor) {
     this.views = views;
     this.monitor = monitor;
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/ledger/LedgerTable.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/ledger/LedgerTable.java
@@ -12,34 +12,35 @@
 import org.alderyard.proxy.write.WriteAnswer;
 
 /**
- * The requests that one proxy admitted, each until the retention after its first sending is over.
+ * The requests that one proxy admitted, each kept until its retention has passed.
  *
- * <p>An entry leaves only when no resend of it can be admitted any more: it did not run, or every
- * resend is refused as too old. A full table refuses new requests; it never drops one that it may
- * be asked for. Thread-safe; its own lock is a leaf.
+ * <p>The retention starts when the caller first sent the request. An entry is removed only when a
+ * resend cannot run the request twice: the request did not run, or every resend is rejected as too
+ * old. A full table rejects new requests and never evicts an entry. Thread-safe; no other lock is
+ * acquired while its lock is held.
  */
 final class LedgerTable {
   private final LedgerLimits limits;
   // Guarded by this.
   private final Map<LedgerKey, Entry> entries = new HashMap<>();
-  private final TreeSet<Entry> oldestFirst =
+  private final TreeSet<Entry> byRequestTime =
       new TreeSet<>(
           Comparator.comparingLong((Entry entry) -> entry.requestedAtMillis)
-              .thenComparingLong(entry -> entry.number));
-  private long nextNumber;
+              .thenComparingLong(entry -> entry.sequence));
+  private long nextSequence;
   private long resultBytes;
-  private long latestMillis;
+  private long latestNowMillis;
 
   LedgerTable(LedgerLimits limits) {
     this.limits = limits;
   }
 
   /**
-   * Admits a request or says why not.
+   * Admits a request or returns the reason for its rejection.
    *
-   * @param content a digest of what it does
-   * @param requestedAtMillis when its caller first sent it
-   * @param ownedSinceMillis since when this proxy owns its id
+   * @param content a digest of the content of the request
+   * @param requestedAtMillis when the caller first sent the request
+   * @param ownedSinceMillis since when this proxy has owned the request ID
    * @param nowMillis the time on this proxy's wall clock
    */
   synchronized Admission admit(
@@ -48,43 +49,43 @@
       long requestedAtMillis,
       long ownedSinceMillis,
       long nowMillis) {
-    // A clock that is set back would admit again what was too old a moment ago.
-    latestMillis = Math.max(latestMillis, nowMillis);
+    // Without the maximum, a clock that is set back would admit a request that was already too old.
+    latestNowMillis = Math.max(latestNowMillis, nowMillis);
     removeExpired();
-    if (requestedAtMillis < oldestAccepted()) {
-      return refused(Admission.Kind.TOO_OLD);
+    if (requestedAtMillis < oldestAcceptedMillis()) {
+      return rejected(Admission.Kind.TOO_OLD);
     }
-    Entry known = entries.get(key);
-    if (known != null) {
-      return known.content.equals(content)
-          ? new Admission(Admission.Kind.REPEATED, known.outcome)
-          : refused(Admission.Kind.REUSED);
+    Entry existing = entries.get(key);
+    if (existing != null) {
+      return existing.content.equals(content)
+          ? new Admission(Admission.Kind.REPEATED, existing.outcome)
+          : rejected(Admission.Kind.REUSED);
     }
     if (requestedAtMillis < ownedSinceMillis + limits.ownerChangeFence().toMillis()) {
-      return refused(Admission.Kind.OWNER_CHANGED);
+      return rejected(Admission.Kind.OWNER_CHANGED);
     }
     if (requestedAtMillis > nowMillis + limits.clockSkew().toMillis()) {
-      return refused(Admission.Kind.IN_FUTURE);
+      return rejected(Admission.Kind.IN_FUTURE);
     }
     if (entries.size() >= limits.maxRequests() || resultBytes >= limits.maxResultBytes()) {
-      return refused(Admission.Kind.FULL);
+      return rejected(Admission.Kind.FULL);
     }
     return admitNew(key, content, requestedAtMillis);
   }
 
   private Admission admitNew(LedgerKey key, String content, long requestedAtMillis) {
-    Entry entry = new Entry(key, content, requestedAtMillis, nextNumber++);
+    Entry entry = new Entry(key, content, requestedAtMillis, nextSequence++);
     entries.put(key, entry);
-    oldestFirst.add(entry);
-    entry.outcome.whenComplete((answer, failure) -> ended(entry, answer, failure));
+    byRequestTime.add(entry);
+    entry.outcome.whenComplete((answer, failure) -> recordOutcome(entry, answer, failure));
     return new Admission(Admission.Kind.RUN, entry.outcome);
   }
 
-  private static Admission refused(Admission.Kind kind) {
+  private static Admission rejected(Admission.Kind kind) {
     return new Admission(kind, null);
   }
 
-  private synchronized void ended(Entry entry, WriteAnswer answer, Throwable failure) {
+  private synchronized void recordOutcome(Entry entry, WriteAnswer answer, Throwable failure) {
     if (entries.get(entry.key) != entry) {
       return;
     }
@@ -92,24 +93,25 @@
       entry.resultBytes = Json.bytes(answer.result()).length;
       resultBytes += entry.resultBytes;
     } else if (Futures.typed(failure).outcome() == Outcome.NOT_RUN) {
-      // Proved not to have run: a resend is as good as new.
+      // The request did not run, so a resend is admitted as new.
       remove(entry);
     }
   }
 
-  private long oldestAccepted() {
-    return latestMillis - limits.retention().toMillis();
+  private long oldestAcceptedMillis() {
+    return latestNowMillis - limits.retention().toMillis();
   }
 
   private void removeExpired() {
-    while (!oldestFirst.isEmpty() && oldestFirst.first().requestedAtMillis < oldestAccepted()) {
-      remove(oldestFirst.first());
+    while (!byRequestTime.isEmpty()
+        && byRequestTime.first().requestedAtMillis < oldestAcceptedMillis()) {
+      remove(byRequestTime.first());
     }
   }
 
   private void remove(Entry entry) {
     entries.remove(entry.key);
-    oldestFirst.remove(entry);
+    byRequestTime.remove(entry);
     resultBytes -= entry.resultBytes;
   }
 
@@ -121,15 +123,15 @@
     private final LedgerKey key;
     private final String content;
     private final long requestedAtMillis;
-    private final long number;
+    private final long sequence;
     private final CompletableFuture<WriteAnswer> outcome = new CompletableFuture<>();
     private long resultBytes;
 
-    Entry(LedgerKey key, String content, long requestedAtMillis, long number) {
+    Entry(LedgerKey key, String content, long requestedAtMillis, long sequence) {
       this.key = key;
       this.content = content;
       this.requestedAtMillis = requestedAtMillis;
-      this.number = number;
+      this.sequence = sequence;
     }
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/ledger/LedgeredWrites.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/ledger/LedgeredWrites.java
@@ -7,31 +7,34 @@
 import org.alderyard.proxy.write.WritePath;
 import org.alderyard.proxy.write.WriteRequest;
 
-/** Runs writes: those with a request id under the ledger that their group has. */
+/** Runs writes; a write with a request ID runs under the ledger that serves its group. */
 public final class LedgeredWrites {
   private final WritePath writes;
-  private final Predicate<GroupId> ledgerOnServers;
-  private final RequestLedger servers;
-  private final RequestLedger owner;
+  private final Predicate<GroupId> hasServerLedger;
+  private final RequestLedger serverLedger;
+  private final RequestLedger ownerLedger;
 
   /**
-   * Creates the choice.
+   * Creates an instance that selects the ledger by group.
    *
-   * @param ledgerOnServers whether all servers of a group record writes under their ledger keys
-   * @param owner the ledger for groups whose servers don't
+   * @param hasServerLedger whether all servers of a group record writes under their ledger keys
+   * @param ownerLedger the ledger for the groups whose servers do not record ledger keys
    */
-  public LedgeredWrites(WritePath writes, Predicate<GroupId> ledgerOnServers, RequestLedger owner) {
+  public LedgeredWrites(
+      WritePath writes, Predicate<GroupId> hasServerLedger, RequestLedger ownerLedger) {
     this.writes = writes;
-    this.ledgerOnServers = ledgerOnServers;
-    this.owner = owner;
-    servers = new ServerLedger(writes);
+    this.hasServerLedger = hasServerLedger;
+    this.ownerLedger = ownerLedger;
+    serverLedger = new ServerLedger(writes);
   }
 
-  /** Runs a write; a failure is a typed error that tells the outcome. */
+  /** Runs a write; a failure is an {@code AlderyardException} with the outcome of the write. */
   public CompletableFuture<WriteAnswer> run(WriteRequest request) {
     if (request.ledgerKey().isEmpty()) {
       return writes.run(request);
     }
-    return ledgerOnServers.test(request.group()) ? servers.run(request) : owner.run(request);
+    return hasServerLedger.test(request.group())
+        ? serverLedger.run(request)
+        : ownerLedger.run(request);
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/ledger/OwnedWriteCodec.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/ledger/OwnedWriteCodec.java
@@ -29,13 +29,17 @@
 import org.alderyard.proxy.write.WriteRequest;
 import org.apache.commons.codec.digest.DigestUtils;
 
-/** Maps writes to the messages between proxies, and to the digest of their content. */
+/**
+ * Converts writes to and from the messages between proxies, and computes the digest of their
+ * content.
+ */
 final class OwnedWriteCodec {
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
   private OwnedWriteCodec() {}
 
-  static OwnedWriteRequest message(WriteRequest write, long requestedAtMillis, Duration left) {
+  static OwnedWriteRequest encodeRequest(
+      WriteRequest write, long requestedAtMillis, Duration timeLeft) {
     LedgerKey key = write.ledgerKey().orElseThrow();
     return OwnedWriteRequest.newBuilder()
         .setPool(write.pool().name().value())
@@ -46,11 +50,11 @@
         .setCallerId(key.caller().value())
         .setRequestId(key.request().value())
         .setRequestedAtMillis(requestedAtMillis)
-        .setTimeoutMillis(left.toMillis())
+        .setTimeoutMillis(timeLeft.toMillis())
         .build();
   }
 
-  static WriteRequest write(OwnedWriteRequest message, View view) {
+  static WriteRequest decodeRequest(OwnedWriteRequest message, View view) {
     PoolName pool = new PoolName(message.getPool());
     List<JsonNode> parameters = new ArrayList<>();
     parse(message.getParameters()).forEach(parameters::add);
@@ -58,9 +62,10 @@
         view.pool(pool)
             .orElseThrow(
                 () ->
-                    // NOT_RUN holds: the request was not admitted yet.
+                    // NOT_RUN is accurate: the request was not admitted yet.
                     AlderyardException.notRun(
-                        ErrorCode.NOT_OWNER, "the owner does not know pool '" + pool + "' yet")),
+                        ErrorCode.NOT_OWNER,
+                        "the view of the owner does not contain pool '" + pool + "' yet")),
         new GroupId(message.getGroup()),
         message.getKey(),
         message.getStatement(),
@@ -72,7 +77,7 @@
         Duration.ofMillis(message.getTimeoutMillis()));
   }
 
-  static OwnedWriteReply answerMessage(WriteAnswer answer) {
+  static OwnedWriteReply encodeAnswer(WriteAnswer answer) {
     return OwnedWriteReply.newBuilder()
         .setResult(ByteString.copyFrom(Json.bytes(answer.result())))
         .setServer(answer.server().value())
@@ -81,14 +86,14 @@
         .build();
   }
 
-  static WriteAnswer answer(OwnedWriteReply message) {
+  static WriteAnswer decodeAnswer(OwnedWriteReply message) {
     return new WriteAnswer(
         parse(message.getResult()),
         new ServerId(message.getServer()),
         new Position(message.getTerm(), message.getIndex()));
   }
 
-  static OwnedWriteReply failureMessage(AlderyardException failure) {
+  static OwnedWriteReply encodeFailure(AlderyardException failure) {
     return OwnedWriteReply.newBuilder()
         .setFailure(
             OwnedWriteFailure.newBuilder()
@@ -99,7 +104,7 @@
         .build();
   }
 
-  static AlderyardException failure(OwnedWriteFailure message) {
+  static AlderyardException decodeFailure(OwnedWriteFailure message) {
     ErrorCode code = ErrorCode.valueOf(message.getCode());
     Outcome outcome = Outcome.valueOf(message.getOutcome());
     return outcome == Outcome.NOT_RUN && message.getRetryAfterMillis() > 0
@@ -107,8 +112,8 @@
         : new AlderyardException(code, outcome, message.getMessage());
   }
 
-  /** Returns a digest of all that makes the write what it is. */
-  static String content(WriteRequest write) {
+  /** Returns a digest of the pool, key, statement and parameters of a write. */
+  static String contentDigest(WriteRequest write) {
     ArrayNode content = MAPPER.createArrayNode();
     content.add(write.pool().name().value());
     content.add(write.key());
@@ -126,9 +131,9 @@
   private static JsonNode parse(ByteString json) {
     try {
       return MAPPER.readTree(json.toByteArray());
-    } catch (IOException damaged) {
+    } catch (IOException malformed) {
       throw AlderyardException.unknown(
-          ErrorCode.INTERNAL, "a value between proxies can't be read", damaged);
+          ErrorCode.INTERNAL, "a JSON value from another proxy cannot be parsed", malformed);
     }
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/ledger/OwnedRun.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/ledger/OwnerCall.java
@@ -16,12 +16,13 @@
 import org.alderyard.proxy.write.WriteRequest;
 
 /**
- * One request on its way to its owner.
+ * Sends one request to the owner of its ID, with retries.
  *
- * <p>Asking an owner again is safe: it admits the request once. So a lost reply is asked for again
- * until the deadline, but only while the same process owns the id.
+ * <p>Repeating a call to the same owner is safe, since the owner admits a request only once. After
+ * a lost reply, the call is therefore repeated until the deadline, but only while the same process
+ * owns the ID.
  */
-final class OwnedRun {
+final class OwnerCall {
   private static final Duration RETRY_DELAY = Duration.ofMillis(50);
 
   private final OwnerLedger ledger;
@@ -29,10 +30,10 @@
   private final long requestedAtMillis;
   private final Deadline deadline;
   private final CompletableFuture<WriteAnswer> result = new CompletableFuture<>();
-  // The owner that may have admitted the request; written in one attempt at a time.
-  private volatile HostState doubted;
+  // The owner that may have admitted the request; written by one attempt at a time.
+  private volatile HostState uncertainOwner;
 
-  OwnedRun(OwnerLedger ledger, WriteRequest request, long requestedAtMillis) {
+  OwnerCall(OwnerLedger ledger, WriteRequest request, long requestedAtMillis) {
     this.ledger = ledger;
     this.request = request;
     this.requestedAtMillis = requestedAtMillis;
@@ -49,67 +50,71 @@
     Optional<HostState> owner =
         RequestOwners.owner(view, request.ledgerKey().orElseThrow())
             .map(id -> view.hosts().get(id));
-    ask(owner)
+    callOwner(owner)
         .whenComplete(
             (answer, failure) -> {
               if (failure == null) {
                 result.complete(answer);
               } else {
-                failed(owner, Futures.typed(failure));
+                handleFailure(owner, Futures.typed(failure));
               }
             });
   }
 
-  private CompletableFuture<WriteAnswer> ask(Optional<HostState> owner) {
+  private CompletableFuture<WriteAnswer> callOwner(Optional<HostState> owner) {
     if (owner.isEmpty()) {
-      // NOT_RUN holds: there was nobody to pass the request on to.
+      // NOT_RUN is accurate: there was no owner to forward the request to.
       return CompletableFuture.failedFuture(
-          AlderyardException.notRun(ErrorCode.NOT_OWNER, "no proxy is known to own request ids"));
+          AlderyardException.notRun(
+              ErrorCode.NOT_OWNER, "the view contains no proxy that can own the request id"));
     }
     HostId id = owner.get().id();
     try {
       return id.equals(ledger.self())
           ? ledger.admit(request, requestedAtMillis)
           : forward(owner.get());
-    } catch (AlderyardException refused) {
-      return CompletableFuture.failedFuture(refused);
+    } catch (AlderyardException rejection) {
+      return CompletableFuture.failedFuture(rejection);
     }
   }
 
   private CompletableFuture<WriteAnswer> forward(HostState owner) {
-    Duration left = deadline.remaining(ledger.clock());
+    Duration timeLeft = deadline.remaining(ledger.clock());
     return ledger
-        .link()
-        .send(owner, OwnedWriteCodec.message(request, requestedAtMillis, left), left)
-        .handle(OwnedRun::verdict);
+        .ownerClient()
+        .send(owner, OwnedWriteCodec.encodeRequest(request, requestedAtMillis, timeLeft), timeLeft)
+        .handle(OwnerCall::toAnswer);
   }
 
-  private static WriteAnswer verdict(OwnedWriteReply reply, Throwable failure) {
+  private static WriteAnswer toAnswer(OwnedWriteReply reply, Throwable failure) {
     if (failure != null) {
-      throw new OwnerUnreachedException(Futures.typed(failure));
+      throw new OwnerUnreachableException(Futures.typed(failure));
     }
     if (reply.hasFailure()) {
-      throw OwnedWriteCodec.failure(reply.getFailure());
+      throw OwnedWriteCodec.decodeFailure(reply.getFailure());
     }
-    return OwnedWriteCodec.answer(reply);
+    return OwnedWriteCodec.decodeAnswer(reply);
   }
 
-  private void failed(Optional<HostState> owner, AlderyardException failure) {
-    boolean unreached = failure instanceof OwnerUnreachedException;
+  private void handleFailure(Optional<HostState> owner, AlderyardException failure) {
+    boolean unreachable = failure instanceof OwnerUnreachableException;
     boolean notRun = failure.outcome() == Outcome.NOT_RUN;
-    if (unreached && !notRun) {
-      doubted = owner.orElse(null);
+    if (unreachable && !notRun) {
+      uncertainOwner = owner.orElse(null);
     }
-    boolean elsewhere = notRun && (unreached || failure.code() == ErrorCode.NOT_OWNER);
-    boolean again = doubted == null ? elsewhere : unreached && sameOwner();
-    if (again && !deadline.over(ledger.clock())) {
+    boolean retryable = notRun && (unreachable || failure.code() == ErrorCode.NOT_OWNER);
+    boolean retry = uncertainOwner == null ? retryable : unreachable && ownerUnchanged();
+    if (retry && !deadline.over(ledger.clock())) {
       ledger.workers().schedule(RETRY_DELAY, this::attempt);
       return;
     }
-    result.completeExceptionally(doubted != null && notRun ? mayHaveRun(failure) : failure);
+    result.completeExceptionally(uncertainOwner != null && notRun ? mayHaveRun(failure) : failure);
   }
 
-  /** What was sent to an owner before may still be admitted, so no later refusal proves a thing. */
+  /**
+   * Returns the failure as one of unknown outcome: an owner may still admit a request that was sent
+   * to it before, so a later rejection does not prove that the request did not run.
+   */
   private static AlderyardException mayHaveRun(AlderyardException failure) {
     return AlderyardException.unknown(
         failure.code(),
@@ -117,9 +122,9 @@
         failure);
   }
 
-  private boolean sameOwner() {
-    return Optional.ofNullable(ledger.view().hosts().get(doubted.id()))
-        .filter(now -> now.incarnation() == doubted.incarnation())
+  private boolean ownerUnchanged() {
+    return Optional.ofNullable(ledger.view().hosts().get(uncertainOwner.id()))
+        .filter(current -> current.incarnation() == uncertainOwner.incarnation())
         .isPresent();
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/ledger/OwnerLink.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/ledger/OwnerClient.java
@@ -6,12 +6,13 @@
 import org.alderyard.protocol.generated.ledger.OwnedWriteReply;
 import org.alderyard.protocol.generated.ledger.OwnedWriteRequest;
 
-/** Passes a write on to the proxy that owns its request id. */
+/** Forwards a write to the proxy that owns its request ID. */
 @FunctionalInterface
-public interface OwnerLink {
+public interface OwnerClient {
 
   /**
-   * Sends the write; a failure is typed, and {@code NOT_RUN} only if the owner did not admit it.
+   * Sends a write; a failure is typed, and {@code NOT_RUN} only if the owner did not admit the
+   * write.
    */
   CompletableFuture<OwnedWriteReply> send(
       HostState owner, OwnedWriteRequest request, Duration timeout);
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/ledger/OwnerLedger.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/ledger/OwnerLedger.java
@@ -24,13 +24,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The ledger that needs nothing of the servers: one proxy owns each request id and admits one run.
+ * A ledger that the proxies keep: each request ID is owned by one proxy, which admits the request
+ * once.
  *
- * <p>The owner is found by rendezvous hashing over the live proxies of the view; any other proxy
- * passes the request on to it. Guards against two owners: a proxy admits only on a view whose lease
- * is valid, and a new owner does not admit a request that was first sent before the old one had
- * certainly stopped (see {@link LedgerLimits}). So a request names the time of its first sending.
- * After a run of unknown outcome the id stays unknown; it never runs again.
+ * <p>The owner is chosen by rendezvous hashing over the live proxies of the view; other proxies
+ * forward the request to it. Two owners must not run the same request, so a proxy admits requests
+ * only while its view lease is valid, and a new owner rejects requests that were first sent before
+ * the previous owner has certainly stopped (see {@link LedgerLimits}). A request therefore carries
+ * the time at which it was first sent. After a run of unknown outcome, the outcome of the ID stays
+ * unknown and the request never runs again.
  */
 public final class OwnerLedger implements RequestLedger {
   private static final Logger log = LoggerFactory.getLogger(OwnerLedger.class);
@@ -39,8 +41,8 @@
   private final HostId self;
   private final ViewHolder views;
   private final BooleanSupplier viewLeaseValid;
-  private final RequestLedger runs;
-  private final OwnerLink link;
+  private final RequestLedger delegate;
+  private final OwnerClient ownerClient;
   private final RequestOwners owners;
   private final LedgerTable table;
   private final WorkerPool workers;
@@ -51,16 +53,16 @@
    * Creates the ledger of one proxy.
    *
    * @param self this proxy
-   * @param viewLeaseValid whether the view may be acted on
-   * @param runs runs an admitted write
-   * @param link the way to other proxies
+   * @param viewLeaseValid whether the view lease is valid
+   * @param delegate runs an admitted write
+   * @param ownerClient forwards writes to other proxies
    */
   public OwnerLedger(
       HostId self,
       ViewHolder views,
       BooleanSupplier viewLeaseValid,
-      RequestLedger runs,
-      OwnerLink link,
+      RequestLedger delegate,
+      OwnerClient ownerClient,
       LedgerLimits limits,
       WorkerPool workers,
       MonotonicClock clock,
@@ -68,8 +70,8 @@
     this.self = Objects.requireNonNull(self);
     this.views = views;
     this.viewLeaseValid = viewLeaseValid;
-    this.runs = runs;
-    this.link = link;
+    this.delegate = delegate;
+    this.ownerClient = ownerClient;
     this.workers = workers;
     this.clock = clock;
     this.wallClock = wallClock;
@@ -79,57 +81,59 @@
     owners.update(views.current(), wallClock.millis());
   }
 
-  /** Tells the ledger that this proxy had lost its view lease and has it again. */
+  /**
+   * Notifies the ledger that this proxy has regained its view lease after the lease had expired.
+   */
   public void viewLeaseLapsed() {
-    owners.viewLeaseLapsed(wallClock.millis());
+    owners.resetOwnership(wallClock.millis());
   }
 
   @Override
   public CompletableFuture<WriteAnswer> run(WriteRequest request) {
     LedgerKey key = request.ledgerKey().orElseThrow();
-    OptionalLong requestedAt =
+    OptionalLong requestedAtMillis =
         request.requestedAtMillis().isPresent()
             ? request.requestedAtMillis()
             : RequestTime.of(key.request());
-    if (requestedAt.isEmpty()) {
-      // NOT_RUN holds: the request was passed on to nobody.
+    if (requestedAtMillis.isEmpty()) {
+      // NOT_RUN is accurate: the request was not forwarded.
       return CompletableFuture.failedFuture(
           AlderyardException.notRun(
               ErrorCode.BAD_REQUEST,
               "requestId '"
                   + key.request()
-                  + "' tells no time; accepted: a version 7 UUID, or requestedAtMillis beside it"));
+                  + "' contains no timestamp; use a version 7 UUID or set requestedAtMillis"));
     }
     if (!viewLeaseValid.getAsBoolean()) {
-      // NOT_RUN holds: the request was passed on to nobody.
+      // NOT_RUN is accurate: the request was not forwarded.
       return CompletableFuture.failedFuture(
           AlderyardException.notRun(
-              ErrorCode.VIEW_LEASE_EXPIRED, "this proxy has lost touch with the control hosts"));
+              ErrorCode.VIEW_LEASE_EXPIRED, "this proxy has lost contact with the control hosts"));
     }
-    return new OwnedRun(this, request, requestedAt.getAsLong()).start();
+    return new OwnerCall(this, request, requestedAtMillis.getAsLong()).start();
   }
 
-  /** Serves another proxy that takes this one for the owner. */
+  /** Runs a write that another proxy forwarded to this proxy as the owner of the request ID. */
   public CompletableFuture<OwnedWriteReply> serve(OwnedWriteRequest message) {
     CompletableFuture<WriteAnswer> answer;
     try {
-      WriteRequest request = OwnedWriteCodec.write(message, views.current());
+      WriteRequest request = OwnedWriteCodec.decodeRequest(message, views.current());
       answer = admit(request, message.getRequestedAtMillis());
-    } catch (RuntimeException refused) {
-      answer = CompletableFuture.failedFuture(refused);
+    } catch (RuntimeException rejection) {
+      answer = CompletableFuture.failedFuture(rejection);
     }
     return answer.handle(
-        (done, failure) ->
+        (writeAnswer, failure) ->
             failure == null
-                ? OwnedWriteCodec.answerMessage(done)
-                : OwnedWriteCodec.failureMessage(Futures.typed(failure)));
+                ? OwnedWriteCodec.encodeAnswer(writeAnswer)
+                : OwnedWriteCodec.encodeFailure(Futures.typed(failure)));
   }
 
   /**
-   * Admits a write at its owner and runs it, or returns what became of its first run.
+   * Admits a write at its owner and runs it, or returns the outcome of its first run.
    *
-   * <p>The time is read before the lease is checked: however long this thread sleeps between the
-   * two, the time lies within the lease, and the next owner refuses what is as old.
+   * <p>The clock is read before the lease is checked. Even if the thread is suspended in between,
+   * the time lies within the lease, and the next owner rejects requests that are as old.
    */
   CompletableFuture<WriteAnswer> admit(WriteRequest request, long requestedAtMillis) {
     LedgerKey key = request.ledgerKey().orElseThrow();
@@ -137,31 +141,31 @@
     boolean leaseValid = viewLeaseValid.getAsBoolean();
     OptionalLong ownedSinceMillis = owners.ownedSinceMillis(key);
     if (!leaseValid || ownedSinceMillis.isEmpty()) {
-      // NOT_RUN holds for this sending: it is not in the table and nothing was run for it.
+      // NOT_RUN is accurate for this call: the request is not in the table and was not run.
       throw AlderyardException.notRun(
           ErrorCode.NOT_OWNER, self + " does not own the request id", RETRY_AFTER_MILLIS);
     }
     Admission admission =
         table.admit(
             key,
-            OwnedWriteCodec.content(request),
+            OwnedWriteCodec.contentDigest(request),
             requestedAtMillis,
             ownedSinceMillis.getAsLong(),
             nowMillis);
     log.info("event=ledger request={} decision={}", key.request(), admission.kind());
     return switch (admission.kind()) {
-      case RUN -> runOnce(request, admission.outcome());
+      case RUN -> runAdmitted(request, admission.outcome());
       case REPEATED ->
           workers.withTimeout(admission.outcome(), request.timeout(), Outcome.OUTCOME_UNKNOWN);
       default -> throw AdmissionErrors.of(admission.kind(), key);
     };
   }
 
-  private CompletableFuture<WriteAnswer> runOnce(
+  private CompletableFuture<WriteAnswer> runAdmitted(
       WriteRequest request, CompletableFuture<WriteAnswer> outcome) {
     CompletableFuture<WriteAnswer> run;
     try {
-      run = runs.run(request);
+      run = delegate.run(request);
     } catch (RuntimeException failure) {
       run = CompletableFuture.failedFuture(failure);
     }
@@ -184,8 +188,8 @@
     return views.current();
   }
 
-  OwnerLink link() {
-    return link;
+  OwnerClient ownerClient() {
+    return ownerClient;
   }
 
   WorkerPool workers() {
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/ledger/RequestOwners.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/ledger/RequestOwners.java
@@ -16,24 +16,28 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Which proxy owns a request id, and since when this one has owned it without a break.
+ * Determines which proxy owns a request ID and since when this proxy has owned it without
+ * interruption.
  *
- * <p>Thread-safe; its own lock is a leaf.
+ * <p>Thread-safe; no other lock is acquired while its lock is held.
  */
 final class RequestOwners {
   private final HostId self;
-  private final long keepMillis;
-  // Guarded by this; the newest first, never empty.
+  private final long retentionMillis;
+  // Guarded by this; newest first, never empty.
   private final Deque<Epoch> epochs = new ArrayDeque<>();
   private ViewVersion version = ViewVersion.NONE;
 
-  RequestOwners(HostId self, Duration keep, long nowMillis) {
+  RequestOwners(HostId self, Duration retention, long nowMillis) {
     this.self = self;
-    this.keepMillis = keep.toMillis();
+    this.retentionMillis = retention.toMillis();
     epochs.push(new Epoch(nowMillis, new TreeSet<>()));
   }
 
-  /** Takes a view that this proxy acts on from now; one older than the last is left aside. */
+  /**
+   * Records a view that this proxy starts to use; a view that is not newer than the last is
+   * ignored.
+   */
   synchronized void update(View view, long nowMillis) {
     if (view.version().compareTo(version) <= 0) {
       return;
@@ -44,30 +48,32 @@
       return;
     }
     epochs.push(new Epoch(nowMillis, proxies));
-    while (epochs.size() > 1 && epochs.peekLast().sinceMillis < nowMillis - keepMillis) {
+    while (epochs.size() > 1 && epochs.peekLast().sinceMillis < nowMillis - retentionMillis) {
       epochs.removeLast();
     }
   }
 
   /**
-   * Forgets how long this proxy has owned anything.
+   * Restarts the ownership of all IDs of this proxy at the given time.
    *
-   * <p>Guards against a proxy that was cut off while its place was taken and given back: it never
-   * saw the view in between, and would run again what the other one ran.
+   * <p>While this proxy was isolated, another proxy may have owned the same IDs under a view that
+   * this proxy never received. Without the reset, this proxy would run requests again that the
+   * other proxy ran.
    */
-  synchronized void viewLeaseLapsed(long nowMillis) {
+  synchronized void resetOwnership(long nowMillis) {
     SortedSet<HostId> proxies = epochs.peekFirst().proxies;
     epochs.clear();
     epochs.push(new Epoch(nowMillis, proxies));
   }
 
-  /** Returns the owner in a view, if the view has a proxy. */
+  /** Returns the owner of a request ID in a view; empty if the view has no live proxy. */
   static Optional<HostId> owner(View view, LedgerKey key) {
     return ownerAmong(liveProxies(view), key);
   }
 
   /**
-   * Returns since when this proxy has owned the id in every view it has seen; empty if it doesn't.
+   * Returns since when this proxy has owned the ID in every view that it used; empty if it is not
+   * the owner.
    */
   synchronized OptionalLong ownedSinceMillis(LedgerKey key) {
     OptionalLong since = OptionalLong.empty();
@@ -90,19 +96,22 @@
     return proxies;
   }
 
-  /** Rendezvous hashing: only the ids of a proxy that comes or goes change their owner. */
+  /**
+   * Rendezvous hashing: when a proxy joins or leaves, only the IDs of that proxy change their
+   * owner.
+   */
   private static Optional<HostId> ownerAmong(SortedSet<HostId> proxies, LedgerKey key) {
-    HostId best = null;
-    long bestScore = 0;
+    HostId owner = null;
+    long ownerScore = 0;
     for (HostId proxy : proxies) {
-      String text = proxy + "\n" + key.caller() + "\n" + key.request();
-      long score = MurmurHash3.hash128x64(text.getBytes(StandardCharsets.UTF_8))[0];
-      if (best == null || score > bestScore) {
-        best = proxy;
-        bestScore = score;
+      String hashInput = proxy + "\n" + key.caller() + "\n" + key.request();
+      long score = MurmurHash3.hash128x64(hashInput.getBytes(StandardCharsets.UTF_8))[0];
+      if (owner == null || score > ownerScore) {
+        owner = proxy;
+        ownerScore = score;
       }
     }
-    return Optional.ofNullable(best);
+    return Optional.ofNullable(owner);
   }
 
   private record Epoch(long sinceMillis, SortedSet<HostId> proxies) {}
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/ledger/RequestTime.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/ledger/RequestTime.java
@@ -4,7 +4,7 @@
 import java.util.UUID;
 import org.alderyard.common.id.RequestId;
 
-/** Reads the time out of a request id that is a version 7 UUID (RFC 9562). */
+/** Extracts the timestamp of a request ID that is a version 7 UUID (RFC 9562). */
 final class RequestTime {
   private static final int TIME_ORDERED_VERSION = 7;
   private static final int TIME_SHIFT = 16;
@@ -12,7 +12,10 @@
 
   private RequestTime() {}
 
-  /** Returns the milliseconds since 1970 at which the id was made, if it tells. */
+  /**
+   * Returns when the ID was created, in milliseconds since 1970; empty if it is not a version 7
+   * UUID.
+   */
   static OptionalLong of(RequestId id) {
     if (id.value().length() != UUID_LENGTH) {
       return OptionalLong.empty();
@@ -22,7 +25,7 @@
       return uuid.version() == TIME_ORDERED_VERSION
           ? OptionalLong.of(uuid.getMostSignificantBits() >>> TIME_SHIFT)
           : OptionalLong.empty();
-    } catch (IllegalArgumentException other) {
+    } catch (IllegalArgumentException malformed) {
       return OptionalLong.empty();
     }
   }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/ledger/package-info.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/ledger/package-info.java
@@ -1,2 +1,2 @@
-/** The request ledger: a request that is sent again runs at most once. */
+/** The request ledger, which runs a resent request at most once. */
 package org.alderyard.proxy.ledger;
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/ledger/OwnerLedgerTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/ledger/OwnerLedgerTest.java
@@ -17,19 +17,22 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** An order that is sent again, elsewhere and at bad moments, runs at most once. */
+/**
+ * Tests that a request that is resent through other proxies, and during failures, runs at most
+ * once.
+ */
 class OwnerLedgerTest {
   private static final LedgerLimits LIMITS =
       new LedgerLimits(
           Duration.ofMinutes(10), Duration.ofMillis(500), Duration.ofSeconds(3), 100, 10_000);
-  private static final Duration SETTLED = Duration.ofMinutes(1);
+  private static final Duration SETTLE_TIME = Duration.ofMinutes(1);
 
   private final TestProxies cluster = new TestProxies(LIMITS, "p1", "p2", "p3");
 
   @BeforeEach
   void settle() {
     cluster.publishToAll("p1", "p2", "p3");
-    cluster.advance(SETTLED);
+    cluster.advance(SETTLE_TIME);
   }
 
   @AfterEach
@@ -38,8 +41,8 @@
   }
 
   /**
-   * A customer's browser gets no answer and sends the order again; the balancer picks another proxy
-   * each time. All sendings are the one order and get its one answer.
+   * A caller that gets no answer resends the request through another proxy. All copies share one
+   * run and receive its answer.
    */
   @Test
   void resendThroughOtherProxiesGetsFirstAnswer() {
@@ -47,31 +50,31 @@
       WriteAnswer answer = cluster.proxy(proxy).send("order-1", cluster.nowMillis).join();
       assertThat(answer.result().asInt()).isEqualTo(1);
     }
-    assertThat(cluster.runs).containsExactly("order-1", 1);
+    assertThat(cluster.runCounts).containsExactly("order-1", 1);
   }
 
-  /** The button is pressed three times while the first order still runs: one run, one answer. */
+  /** Three copies that arrive while the first is still running share one run. */
   @Test
   void concurrentResendsShareOneRun() {
     CompletableFuture<Void> databaseReady = new CompletableFuture<>();
-    cluster.database = request -> databaseReady.thenCompose(go -> cluster.answer(request));
-    var sendings =
+    cluster.database = request -> databaseReady.thenCompose(ignored -> cluster.answer(request));
+    var responses =
         List.of("p1", "p2", "p3").stream()
             .map(proxy -> cluster.proxy(proxy).send("order-1", cluster.nowMillis))
             .toList();
 
     databaseReady.complete(null);
 
-    sendings.forEach(sending -> assertThat(sending.join().result().asInt()).isEqualTo(1));
-    assertThat(cluster.runs).containsExactly("order-1", 1);
+    responses.forEach(response -> assertThat(response.join().result().asInt()).isEqualTo(1));
+    assertThat(cluster.runCounts).containsExactly("order-1", 1);
   }
 
   /**
-   * The primary dies between the run of an order and its acknowledgement. Nobody can know whether
-   * the order ran, so every resend is told the same and none runs it again.
+   * The primary fails between the run of a write and its acknowledgement. The outcome is unknown,
+   * so every resend receives the same failure and none runs the write again.
    */
   @Test
-  void doubtIsKeptAndNeverRunAgain() {
+  void unknownOutcomeIsKeptAndNeverRunAgain() {
     cluster.database =
         request -> {
           cluster.answer(request);
@@ -84,10 +87,10 @@
       assertThat(failure.code()).isEqualTo(ErrorCode.PRIMARY_REPLACED);
       assertThat(failure.outcome()).isEqualTo(Outcome.OUTCOME_UNKNOWN);
     }
-    assertThat(cluster.runs).containsExactly("order-1", 1);
+    assertThat(cluster.runCounts).containsExactly("order-1", 1);
   }
 
-  /** The first sending is refused by a full server and ran nowhere: the resend runs. */
+  /** A request that was rejected as not run by a full server runs when it is resent. */
   @Test
   void resendAfterNotRunIsNew() {
     cluster.database =
@@ -100,9 +103,12 @@
         .isEqualTo(1);
   }
 
-  /** A shop numbers its orders from 1 again after a reset: order 1 of today is another order. */
+  /**
+   * Guards against a caller that reuses its IDs, such as one that restarts its numbering: another
+   * write under a known ID is rejected.
+   */
   @Test
-  void otherContentUnderSameIdIsRefused() {
+  void otherContentUnderSameIdIsRejected() {
     cluster.proxy("p1").send("order-1", cluster.nowMillis).join();
 
     AlderyardException failure =
@@ -112,24 +118,27 @@
     assertThat(failure.outcome()).isEqualTo(Outcome.NOT_RUN);
   }
 
-  /** The owner's reply is lost on the way to the other proxy, which asks again: one run. */
+  /**
+   * The reply of the owner is lost; the forwarding proxy repeats the call, and the request runs
+   * once.
+   */
   @Test
-  void lostReplyOfOwnerIsAskedForAgain() {
+  void lostReplyOfOwnerIsRequestedAgain() {
     final String id = cluster.idOwnedBy("p1", "p1", "p2", "p3");
     cluster.proxy("p1").repliesToLose = 1;
 
     assertThat(cluster.proxy("p2").send(id, cluster.nowMillis).join().result().asInt())
         .isEqualTo(1);
-    assertThat(cluster.runs).containsExactly(id, 1);
+    assertThat(cluster.runCounts).containsExactly(id, 1);
   }
 
   /**
-   * The proxy that ran an order dies before it answers, and its record dies with it. The resend
-   * goes to the next owner, which knows nothing: it must not run the order again. Orders that were
-   * first sent after the old owner had certainly stopped run as ever.
+   * The owner fails after it ran a request, and its record is lost. The next owner must not run the
+   * resend. A request that was first sent after the previous owner had certainly stopped runs
+   * normally.
    */
   @Test
-  void orderOfDeadOwnerIsNotRunAgain() {
+  void requestOfFailedOwnerIsNotRunAgain() {
     final String id = cluster.idOwnedBy("p1", "p1", "p2", "p3");
     final long sentMillis = cluster.nowMillis;
     cluster.proxy("p2").send(id, sentMillis).join();
@@ -142,40 +151,40 @@
     cluster.advance(LIMITS.ownerChangeFence());
     assertThat(cluster.proxy("p3").send("later", cluster.nowMillis).join().result().asInt())
         .isEqualTo(1);
-    assertThat(cluster.runs).containsExactly(id, 1, "later", 1);
+    assertThat(cluster.runCounts).containsExactly(id, 1, "later", 1);
   }
 
   /**
-   * The owner is cut off and still admits on its old view for the length of its lease, while the
-   * next owner is in force already. The customer sends one new order to both of them.
+   * An isolated owner still admits requests under its old view for one lease, while the next owner
+   * is already in use. The caller sends one new request to both.
    */
   @Test
-  void ownersOfTwoViewsDoNotBothRunAnOrder() {
+  void ownersOfTwoViewsDoNotBothRunTheRequest() {
     final String id = cluster.idOwnedBy("p1", "p1", "p2", "p3");
     cluster.publish("p2", "p3");
-    cluster.proxy("p2").views.offer(cluster.latest);
-    cluster.proxy("p3").views.offer(cluster.latest);
+    cluster.proxy("p2").views.offer(cluster.latestView);
+    cluster.proxy("p3").views.offer(cluster.latestView);
 
     cluster.proxy("p1").send(id, cluster.nowMillis).join();
     failureOf(cluster.proxy("p2").send(id, cluster.nowMillis));
     cluster.proxy("p1").leaseValid = false;
-    AlderyardException refused = failureOf(cluster.proxy("p1").send(id, cluster.nowMillis));
+    AlderyardException rejection = failureOf(cluster.proxy("p1").send(id, cluster.nowMillis));
 
-    assertThat(refused.code()).isEqualTo(ErrorCode.VIEW_LEASE_EXPIRED);
-    assertThat(cluster.runs).containsExactly(id, 1);
+    assertThat(rejection.code()).isEqualTo(ErrorCode.VIEW_LEASE_EXPIRED);
+    assertThat(cluster.runCounts).containsExactly(id, 1);
   }
 
   /**
-   * A proxy is cut off, its ids pass to another one and back, and it never sees the view between.
-   * What the other one ran meanwhile must not run again at the returned one.
+   * An isolated proxy loses its IDs to another proxy and regains them without receiving the view in
+   * between. It must not rerun a request that the other proxy ran.
    */
   @Test
-  void returnedOwnerDoesNotTrustItsOldTable() {
+  void returningOwnerDoesNotRerunRequestsOfOtherOwner() {
     final String id = cluster.idOwnedBy("p1", "p1", "p2", "p3");
     cluster.publish("p2", "p3");
-    cluster.proxy("p2").views.offer(cluster.latest);
-    cluster.proxy("p3").views.offer(cluster.latest);
-    cluster.advance(SETTLED);
+    cluster.proxy("p2").views.offer(cluster.latestView);
+    cluster.proxy("p3").views.offer(cluster.latestView);
+    cluster.advance(SETTLE_TIME);
     final long sentMillis = cluster.nowMillis;
     cluster.proxy("p2").send(id, sentMillis).join();
 
@@ -185,12 +194,15 @@
 
     assertThat(failureOf(cluster.proxy("p1").send(id, sentMillis)).outcome())
         .isEqualTo(Outcome.OUTCOME_UNKNOWN);
-    assertThat(cluster.runs).containsExactly(id, 1);
+    assertThat(cluster.runCounts).containsExactly(id, 1);
   }
 
-  /** A resend that comes after the record is gone is refused; it is never taken for a new order. */
+  /**
+   * A resend that arrives after the record has expired is rejected and not treated as a new
+   * request.
+   */
   @Test
-  void orderOlderThanRetentionIsRefused() {
+  void requestOlderThanRetentionIsRejected() {
     final long sentMillis = cluster.nowMillis;
     cluster.proxy("p1").send("order-1", sentMillis).join();
     cluster.advance(LIMITS.retention().plusMillis(1));
@@ -198,30 +210,33 @@
     AlderyardException failure = failureOf(cluster.proxy("p2").send("order-1", sentMillis));
 
     assertThat(failure.code()).isEqualTo(ErrorCode.REQUEST_TOO_OLD);
-    assertThat(cluster.runs).containsExactly("order-1", 1);
+    assertThat(cluster.runCounts).containsExactly("order-1", 1);
   }
 
-  /** A flood fills the ledger: new orders are refused as not run, and no record is dropped. */
+  /** A full ledger rejects new requests as not run and evicts no record. */
   @Test
-  void fullLedgerRefusesNewOrdersAndKeepsRecords() {
-    TestProxies one = new TestProxies(LIMITS, "p1");
-    one.publishToAll("p1");
-    one.advance(SETTLED);
+  void fullLedgerRejectsNewRequestsAndKeepsRecords() {
+    TestProxies singleProxy = new TestProxies(LIMITS, "p1");
+    singleProxy.publishToAll("p1");
+    singleProxy.advance(SETTLE_TIME);
     for (int number = 0; number < LIMITS.maxRequests(); number++) {
-      one.proxy("p1").send("order-" + number, one.nowMillis).join();
+      singleProxy.proxy("p1").send("order-" + number, singleProxy.nowMillis).join();
     }
 
-    AlderyardException failure = failureOf(one.proxy("p1").send("one-more", one.nowMillis));
+    AlderyardException failure =
+        failureOf(singleProxy.proxy("p1").send("one-more", singleProxy.nowMillis));
 
     assertThat(failure.code()).isEqualTo(ErrorCode.OVERLOADED);
     assertThat(failure.outcome()).isEqualTo(Outcome.NOT_RUN);
-    assertThat(one.proxy("p1").send("order-0", one.nowMillis).join().result().asInt()).isEqualTo(1);
-    one.close();
+    assertThat(
+            singleProxy.proxy("p1").send("order-0", singleProxy.nowMillis).join().result().asInt())
+        .isEqualTo(1);
+    singleProxy.close();
   }
 
-  /** An id without a time can't be told from one that the ledger has forgotten. */
+  /** A request ID without a timestamp cannot be distinguished from one whose record has expired. */
   @Test
-  void idWithoutTimeIsRefusedUnlessItIsTimeOrdered() {
+  void onlyTimeOrderedIdContainsTime() {
     String timeOrdered = "0199f3c2-5a00-7cc3-98c4-dc0c0c07398f";
 
     assertThat(RequestTime.of(new RequestId(timeOrdered)).getAsLong()).isEqualTo(0x0199f3c25a00L);
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/ledger/TestProxies.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/ledger/TestProxies.java
@@ -37,19 +37,19 @@
 import org.alderyard.proxy.write.WriteAnswer;
 import org.alderyard.proxy.write.WriteRequest;
 
-/** The owner ledgers of a few proxies over one database that counts the runs of each request. */
+/** The owner ledgers of several proxies over one database that counts the runs of each request. */
 final class TestProxies implements AutoCloseable {
   static final PoolName POOL = new PoolName("orders");
   private static final GroupId GROUP = new GroupId("g");
   private static final Duration TIMEOUT = Duration.ofMillis(200);
 
-  final Map<String, Integer> runs = new ConcurrentHashMap<>();
+  final Map<String, Integer> runCounts = new ConcurrentHashMap<>();
   final Map<HostId, Proxy> proxies = new TreeMap<>();
   private final WorkerPool workers = new WorkerPool("test", 2);
   private final LedgerLimits limits;
   Function<WriteRequest, CompletableFuture<WriteAnswer>> database = this::answer;
   long nowMillis = 1_000_000_000;
-  View latest = View.EMPTY;
+  View latestView = View.EMPTY;
 
   TestProxies(LedgerLimits limits, String... ids) {
     this.limits = limits;
@@ -58,7 +58,7 @@
     }
   }
 
-  /** Publishes a view with these proxies; each proxy takes it when it is told to. */
+  /** Publishes a view with the given proxies; a test delivers it to each proxy separately. */
   void publish(String... ids) {
     Map<HostId, HostState> hosts = new HashMap<>();
     for (String id : ids) {
@@ -68,13 +68,13 @@
           host, new HostState(host, 1, new ZoneName("z"), address, address, true, false, false));
     }
     PoolState pool = new PoolState(POOL, List.of(GROUP), WriteAcknowledgement.MAJORITY, 1_000, 0);
-    ViewVersion version = new ViewVersion(1, latest.version().version() + 1);
-    latest = new View(version, Map.of(POOL, pool), Map.of(), Map.of(), hosts, List.of());
+    ViewVersion version = new ViewVersion(1, latestView.version().version() + 1);
+    latestView = new View(version, Map.of(POOL, pool), Map.of(), Map.of(), hosts, List.of());
   }
 
   void publishToAll(String... ids) {
     publish(ids);
-    proxies.values().forEach(proxy -> proxy.views.offer(latest));
+    proxies.values().forEach(proxy -> proxy.views.offer(latestView));
   }
 
   void advance(Duration duration) {
@@ -85,12 +85,12 @@
     return proxies.get(new HostId(id));
   }
 
-  /** Returns an id that this proxy owns among the given ones. */
+  /** Returns a request ID that the given proxy owns among the given proxies. */
   String idOwnedBy(String owner, String... ids) {
     publish(ids);
     for (int number = 0; ; number++) {
       String id = "order-" + number;
-      if (RequestOwners.owner(latest, key(id)).equals(Optional.of(new HostId(owner)))) {
+      if (RequestOwners.owner(latestView, key(id)).equals(Optional.of(new HostId(owner)))) {
         return id;
       }
     }
@@ -102,7 +102,7 @@
 
   WriteRequest order(String id, long requestedAtMillis, String content) {
     return new WriteRequest(
-        latest.pool(POOL).orElseThrow(),
+        latestView.pool(POOL).orElseThrow(),
         GROUP,
         "key-" + content,
         "append",
@@ -113,7 +113,7 @@
   }
 
   CompletableFuture<WriteAnswer> answer(WriteRequest request) {
-    int run = runs.merge(request.ledgerKey().orElseThrow().request().value(), 1, Integer::sum);
+    int run = runCounts.merge(request.ledgerKey().orElseThrow().request().value(), 1, Integer::sum);
     return CompletableFuture.completedFuture(
         new WriteAnswer(
             JsonNodeFactory.instance.numberNode(run), new ServerId("s"), new Position(1, 1)));
@@ -124,7 +124,7 @@
     workers.close();
   }
 
-  /** One proxy with its own view, lease and reachability. */
+  /** A proxy with its own view, lease and reachability. */
   final class Proxy {
     final ViewHolder views = new ViewHolder();
     boolean leaseValid = true;
