--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/transaction/OpenTransaction.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/transaction/OpenTransaction.java
@@ -11,9 +11,9 @@
 import org.alderyard.proxy.write.WriteTarget;
 
 /**
- * A transaction and the connection that it alone uses.
+ * An open transaction and the connection that it uses exclusively.
  *
- * <p>Thread-safe; its own lock is a leaf.
+ * <p>Thread-safe; no other lock is acquired while its lock is held.
  */
 final class OpenTransaction {
   private final CallerId caller;
@@ -21,10 +21,10 @@
   private final GroupId group;
   private final WriteTarget target;
   private final ServerConnection connection;
-  private final long beganNanos;
+  private final long startedNanos;
   private final CompletableFuture<Void> ended = new CompletableFuture<>();
   // Guarded by this.
-  private long usedNanos;
+  private long lastUsedNanos;
   private boolean busy;
 
   OpenTransaction(
@@ -39,31 +39,31 @@
     this.group = group;
     this.target = target;
     this.connection = connection;
-    beganNanos = nowNanos;
-    usedNanos = nowNanos;
+    startedNanos = nowNanos;
+    lastUsedNanos = nowNanos;
   }
 
-  /** Takes the one turn on the connection; a second request at the same time is refused. */
-  synchronized void enter() {
+  /** Marks the connection as busy with a request; a concurrent request is rejected. */
+  synchronized void beginRequest() {
     if (busy) {
-      // NOT_RUN holds: nothing of this request was given to the connection.
+      // NOT_RUN is accurate: no part of this request was given to the connection.
       throw AlderyardException.notRun(
           ErrorCode.REQUEST_IN_PROGRESS, "another request of the transaction is running");
     }
     busy = true;
   }
 
-  synchronized void leave(long nowNanos) {
+  synchronized void endRequest(long nowNanos) {
     busy = false;
-    usedNanos = nowNanos;
+    lastUsedNanos = nowNanos;
   }
 
   synchronized boolean expired(TransactionLimits limits, long nowNanos) {
-    boolean tooLong = over(beganNanos, limits.total(), nowNanos);
-    return tooLong || (!busy && over(usedNanos, limits.idle(), nowNanos));
+    boolean totalExceeded = hasElapsed(startedNanos, limits.total(), nowNanos);
+    return totalExceeded || (!busy && hasElapsed(lastUsedNanos, limits.idle(), nowNanos));
   }
 
-  private static boolean over(long sinceNanos, Duration limit, long nowNanos) {
+  private static boolean hasElapsed(long sinceNanos, Duration limit, long nowNanos) {
     return nowNanos - sinceNanos >= limit.toNanos();
   }
 
@@ -87,7 +87,7 @@
     return connection;
   }
 
-  /** Done when the transaction has ended in any way. */
+  /** Completes when the transaction has ended in any way. */
   CompletableFuture<Void> ended() {
     return ended;
   }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/transaction/TransactionEnd.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/transaction/TransactionEnd.java
@@ -4,24 +4,24 @@
 import org.alderyard.proxy.write.WriteAnswer;
 
 /**
- * How a transaction ended.
+ * The way in which a transaction ended.
  *
- * @param kind the way
- * @param answer the answer to its commit, if there is one
+ * @param kind the kind of end
+ * @param answer the answer to the commit; empty unless the commit was acknowledged
  */
 record TransactionEnd(Kind kind, Optional<WriteAnswer> answer) {
 
-  /** The ways. */
+  /** The kinds of ends. */
   enum Kind {
-    /** Its commit was acknowledged. */
+    /** The commit was acknowledged. */
     COMMITTED,
-    /** Its commit was sent, and its effect is not known. */
+    /** The commit was sent, and its effect is unknown. */
     COMMIT_UNKNOWN,
-    /** The caller or the server dropped it. */
+    /** The caller or the server rolled the transaction back. */
     ROLLED_BACK,
-    /** It was idle, or open, for too long. */
+    /** The transaction was idle or open for too long. */
     EXPIRED,
-    /** Its connection broke before a commit was sent. */
+    /** The connection broke before a commit was sent. */
     CONNECTION_BROKE
   }
 
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/transaction/TransactionId.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/transaction/TransactionId.java
@@ -8,33 +8,33 @@
 import org.alderyard.common.id.HostId;
 
 /**
- * The name of a transaction, which tells where it is held.
+ * The ID of a transaction, which contains the location of the transaction.
  *
- * @param holder the host that holds it
- * @param incarnation the incarnation of the holder; a later one has lost it
- * @param number a random number, so that an id can't be guessed
+ * @param holder the host that holds the transaction
+ * @param incarnation the incarnation of the holder; later incarnations do not have the transaction
+ * @param number a random number, so that an ID cannot be guessed
  */
 public record TransactionId(HostId holder, long incarnation, long number) {
-  private static final Pattern TEXT =
+  private static final Pattern FORMAT =
       Pattern.compile("(?<holder>[^:]+):(?<incarnation>\\d{1,18}):(?<number>[0-9a-f]{16})");
-  private static final int HEX = 16;
+  private static final int HEX_RADIX = 16;
 
-  /** Checks. */
+  /** Rejects a null holder. */
   public TransactionId {
     Objects.requireNonNull(holder);
   }
 
-  /** Reads the text of an id; any other text is a typed error. */
+  /** Parses the text of an ID; any other text fails as {@code TRANSACTION_UNKNOWN}. */
   public static TransactionId parse(String text) {
-    Matcher matcher = TEXT.matcher(text);
+    Matcher matcher = FORMAT.matcher(text);
     if (!matcher.matches()) {
       throw AlderyardException.notRun(
-          ErrorCode.TRANSACTION_UNKNOWN, "'" + text + "' is no transaction id");
+          ErrorCode.TRANSACTION_UNKNOWN, "'" + text + "' is not a transaction id");
     }
     return new TransactionId(
         new HostId(matcher.group("holder")),
         Long.parseLong(matcher.group("incarnation")),
-        Long.parseUnsignedLong(matcher.group("number"), HEX));
+        Long.parseUnsignedLong(matcher.group("number"), HEX_RADIX));
   }
 
   @Override
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/transaction/TransactionLimits.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/transaction/TransactionLimits.java
@@ -3,15 +3,15 @@
 import java.time.Duration;
 
 /**
- * How long transactions may hold their connection, and how many there may be.
+ * The limits on the duration and number of transactions.
  *
- * @param idle the longest time between two requests
- * @param total the longest time from begin to commit
- * @param maxOpen the most open transactions of one proxy
- * @param maxEnded how many ended ones are remembered, to answer a request that is sent again
+ * @param idle the maximum time between two requests of a transaction
+ * @param total the maximum time from begin to commit
+ * @param maxOpen the maximum number of open transactions per proxy
+ * @param maxEnded the number of ended transactions that are remembered to answer resent requests
  */
 public record TransactionLimits(Duration idle, Duration total, int maxOpen, int maxEnded) {
-  /** The limits that hold unless another set is given. */
+  /** The default limits. */
   public static final TransactionLimits DEFAULT =
       new TransactionLimits(Duration.ofSeconds(10), Duration.ofSeconds(60), 1_000, 10_000);
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/transaction/TransactionService.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/transaction/TransactionService.java
@@ -28,9 +28,10 @@
 /**
  * Holds the transactions that callers opened at this proxy.
  *
- * <p>Guards against statements of two transactions on one connection: a connection belongs to one
- * transaction from before its begin until after its end, and goes back to the pool only after the
- * server answered that end. With any doubt it is closed, and the server drops what it held.
+ * <p>A connection belongs to one transaction from before its begin until after its end, so that it
+ * never carries statements of two transactions. It returns to the pool only after the server has
+ * answered the end. If the state of the transaction is uncertain, the connection is closed and the
+ * server rolls back.
  */
 public final class TransactionService implements AutoCloseable {
   private static final Logger log = LoggerFactory.getLogger(TransactionService.class);
@@ -44,7 +45,7 @@
   private final RandomGenerator random;
   private final MonotonicClock clock;
 
-  /** Creates a holder without transactions; its limits are kept from {@link #start}. */
+  /** Creates a service without transactions; limits are enforced after {@link #start}. */
   public TransactionService(
       HostId self,
       long incarnation,
@@ -62,12 +63,12 @@
     table = new TransactionTable(limits);
   }
 
-  /** Starts to end transactions that exceed their limits. */
+  /** Starts the periodic check that ends transactions which exceed their limits. */
   public void start(WorkerPool workers) {
-    workers.scheduleRepeatedly(CHECK_INTERVAL, this::expire);
+    workers.scheduleRepeatedly(CHECK_INTERVAL, this::endExpired);
   }
 
-  /** Returns whether this process is the one that holds a transaction, or held it. */
+  /** Returns whether this process holds or held a transaction. */
   public boolean holds(TransactionId id) {
     return id.holder().equals(self) && id.incarnation() == incarnation;
   }
@@ -83,16 +84,17 @@
                 pools
                     .take(target.primary(), timeout)
                     .thenCompose(
-                        connection -> beginOn(connection, target, caller, pool, group, timeout)))
+                        connection ->
+                            beginOnConnection(connection, target, caller, pool, group, timeout)))
         .whenComplete(
             (id, failure) -> {
               if (failure != null) {
-                table.unreserve();
+                table.cancelReservation();
               }
             });
   }
 
-  private CompletableFuture<TransactionId> beginOn(
+  private CompletableFuture<TransactionId> beginOnConnection(
       ServerConnection connection,
       WriteTarget target,
       CallerId caller,
@@ -102,10 +104,10 @@
     return connection
         .begin(target.term(), timeout)
         .handle(
-            (begun, failure) -> {
+            (ignored, failure) -> {
               if (failure != null) {
                 pools.release(target.primary(), connection);
-                throw notBegun(Futures.typed(failure));
+                throw beginFailed(Futures.typed(failure));
               }
               TransactionId id = new TransactionId(self, incarnation, random.nextLong());
               table.add(
@@ -121,8 +123,8 @@
             });
   }
 
-  /** NOT_RUN holds: a transaction without statements has no effect, committed or not. */
-  private static AlderyardException notBegun(AlderyardException failure) {
+  /** NOT_RUN is accurate: a transaction without statements has no effect, committed or not. */
+  private static AlderyardException beginFailed(AlderyardException failure) {
     return AlderyardException.notRun(
         failure.code(), "the transaction did not begin: " + failure.getMessage());
   }
@@ -130,9 +132,9 @@
   /** Runs a statement inside a transaction. */
   public CompletableFuture<BackendAnswer> run(
       TransactionId id, CallerId caller, BackendStatement statement, Duration timeout) {
-    OpenTransaction transaction = open(id, caller);
-    transaction.enter();
-    BackendStatement inTerm =
+    OpenTransaction transaction = requireOpen(id, caller);
+    transaction.beginRequest();
+    BackendStatement termStatement =
         new BackendStatement(
             statement.kind(),
             statement.key(),
@@ -142,8 +144,8 @@
             Optional.empty());
     return transaction
         .connection()
-        .run(inTerm, timeout)
-        .whenComplete((answer, failure) -> transaction.leave(clock.nowNanos()))
+        .run(termStatement, timeout)
+        .whenComplete((answer, failure) -> transaction.endRequest(clock.nowNanos()))
         .exceptionallyCompose(
             failure -> CompletableFuture.failedFuture(statementFailed(id, transaction, failure)));
   }
@@ -155,27 +157,29 @@
       return typed;
     }
     end(id, transaction, TransactionEnd.Kind.CONNECTION_BROKE);
-    return lost("its connection broke: " + typed.getMessage());
+    return transactionLost("its connection broke: " + typed.getMessage());
   }
 
-  /** NOT_RUN holds: no commit was sent, and the server drops what a closed connection held. */
-  private static AlderyardException lost(String reason) {
+  /**
+   * NOT_RUN is accurate: no commit was sent, and the server rolls back when the connection closes.
+   */
+  private static AlderyardException transactionLost(String reason) {
     return AlderyardException.notRun(
         ErrorCode.TRANSACTION_LOST, "the transaction has no effect; " + reason);
   }
 
-  /** Commits; a commit that is sent again gets the first one's answer. */
+  /** Commits a transaction; a resent commit returns the answer of the first one. */
   public CompletableFuture<WriteAnswer> commit(
       TransactionId id, CallerId caller, Duration timeout) {
-    Optional<TransactionEnd> before = table.end(id);
-    if (before.isPresent()) {
-      return committedBefore(id, before.get());
+    Optional<TransactionEnd> earlierEnd = table.findEnd(id);
+    if (earlierEnd.isPresent()) {
+      return earlierCommitResult(id, earlierEnd.get());
     }
-    OpenTransaction transaction = open(id, caller);
-    transaction.enter();
-    // From here on the commit may reach the server: nobody may be told NOT_RUN any more.
-    if (!table.remove(id, TransactionEnd.of(TransactionEnd.Kind.COMMIT_UNKNOWN))) {
-      return committedBefore(id, table.end(id).orElseThrow());
+    OpenTransaction transaction = requireOpen(id, caller);
+    transaction.beginRequest();
+    // From here on the commit may reach the server, so no request may fail as NOT_RUN any more.
+    if (!table.markEnded(id, TransactionEnd.of(TransactionEnd.Kind.COMMIT_UNKNOWN))) {
+      return earlierCommitResult(id, table.findEnd(id).orElseThrow());
     }
     return transaction
         .connection()
@@ -183,55 +187,55 @@
         .whenComplete(
             (answer, failure) ->
                 pools.release(transaction.target().primary(), transaction.connection()))
-        .thenCompose(answer -> acknowledged(id, transaction, answer, timeout))
+        .thenCompose(answer -> acknowledgeCommit(id, transaction, answer, timeout))
         .whenComplete(
             (answer, failure) -> {
               if (failure != null) {
-                commitFailed(id, Futures.typed(failure));
+                recordCommitFailure(id, Futures.typed(failure));
               }
               transaction.ended().complete(null);
             });
   }
 
-  private CompletableFuture<WriteAnswer> acknowledged(
+  private CompletableFuture<WriteAnswer> acknowledgeCommit(
       TransactionId id, OpenTransaction transaction, BackendAnswer answer, Duration timeout) {
     return writes
         .acknowledge(transaction.pool(), transaction.group(), transaction.target(), answer, timeout)
         .thenApply(
-            write -> {
-              table.remember(
-                  id, new TransactionEnd(TransactionEnd.Kind.COMMITTED, Optional.of(write)));
+            writeAnswer -> {
+              table.recordEnd(
+                  id, new TransactionEnd(TransactionEnd.Kind.COMMITTED, Optional.of(writeAnswer)));
               log.info("event=transaction-end id={} reason=COMMITTED", id);
-              return write;
+              return writeAnswer;
             });
   }
 
-  private void commitFailed(TransactionId id, AlderyardException failure) {
+  private void recordCommitFailure(TransactionId id, AlderyardException failure) {
     if (failure.outcome() != Outcome.OUTCOME_UNKNOWN) {
-      // The server refused the commit and said so.
-      table.remember(id, TransactionEnd.of(TransactionEnd.Kind.ROLLED_BACK));
+      // The server explicitly refused the commit.
+      table.recordEnd(id, TransactionEnd.of(TransactionEnd.Kind.ROLLED_BACK));
     }
     log.info("event=transaction-end id={} reason={}", id, failure.code());
   }
 
-  private CompletableFuture<WriteAnswer> committedBefore(TransactionId id, TransactionEnd end) {
+  private CompletableFuture<WriteAnswer> earlierCommitResult(TransactionId id, TransactionEnd end) {
     if (end.kind() == TransactionEnd.Kind.COMMITTED) {
       return CompletableFuture.completedFuture(end.answer().orElseThrow());
     }
-    return CompletableFuture.failedFuture(endedError(id, end));
+    return CompletableFuture.failedFuture(endedFailure(id, end));
   }
 
-  /** Drops a transaction; one that has ended without effect is dropped already. */
+  /** Rolls a transaction back; succeeds if the transaction has already ended without effect. */
   public CompletableFuture<Void> rollback(TransactionId id, CallerId caller, Duration timeout) {
-    Optional<TransactionEnd> before = table.end(id);
-    if (before.isPresent()) {
-      return withoutEffect(before.get())
+    Optional<TransactionEnd> earlierEnd = table.findEnd(id);
+    if (earlierEnd.isPresent()) {
+      return hasNoEffect(earlierEnd.get())
           ? CompletableFuture.completedFuture(null)
-          : CompletableFuture.failedFuture(endedError(id, before.get()));
+          : CompletableFuture.failedFuture(endedFailure(id, earlierEnd.get()));
     }
-    OpenTransaction transaction = open(id, caller);
-    transaction.enter();
-    if (!table.remove(id, TransactionEnd.of(TransactionEnd.Kind.ROLLED_BACK))) {
+    OpenTransaction transaction = requireOpen(id, caller);
+    transaction.beginRequest();
+    if (!table.markEnded(id, TransactionEnd.of(TransactionEnd.Kind.ROLLED_BACK))) {
       return CompletableFuture.completedFuture(null);
     }
     log.info("event=transaction-end id={} reason=ROLLED_BACK", id);
@@ -239,9 +243,9 @@
         .connection()
         .rollback(timeout)
         .handle(
-            (done, failure) -> {
+            (ignored, failure) -> {
               if (failure != null) {
-                // A closed connection drops the transaction as well as the answered rollback.
+                // Closing the connection rolls the transaction back as well.
                 transaction.connection().close();
               }
               pools.release(transaction.target().primary(), transaction.connection());
@@ -250,50 +254,50 @@
             });
   }
 
-  private static boolean withoutEffect(TransactionEnd end) {
+  private static boolean hasNoEffect(TransactionEnd end) {
     return switch (end.kind()) {
       case ROLLED_BACK, EXPIRED, CONNECTION_BROKE -> true;
       case COMMITTED, COMMIT_UNKNOWN -> false;
     };
   }
 
-  private OpenTransaction open(TransactionId id, CallerId caller) {
+  private OpenTransaction requireOpen(TransactionId id, CallerId caller) {
     Optional<OpenTransaction> found = table.find(id);
     if (found.isEmpty()) {
       throw table
-          .end(id)
-          .map(end -> endedError(id, end))
+          .findEnd(id)
+          .map(end -> endedFailure(id, end))
           .orElseGet(
               () ->
                   AlderyardException.unknown(
                       ErrorCode.TRANSACTION_UNKNOWN,
-                      "transaction " + id + " is not known here any more",
+                      "transaction " + id + " is no longer known to this host",
                       null));
     }
     if (!found.get().caller().equals(caller)) {
-      // NOT_RUN holds: the request of another caller is given to no connection.
+      // NOT_RUN is accurate: a request of another caller is not given to the connection.
       throw AlderyardException.notRun(
-          ErrorCode.TRANSACTION_UNKNOWN, "transaction " + id + " is another caller's");
+          ErrorCode.TRANSACTION_UNKNOWN, "transaction " + id + " belongs to another caller");
     }
     return found.get();
   }
 
-  private static AlderyardException endedError(TransactionId id, TransactionEnd end) {
-    String text = "transaction " + id + " has ended: " + end.kind();
-    return withoutEffect(end)
-        ? lost(text)
-        : AlderyardException.unknown(ErrorCode.TRANSACTION_LOST, text, null);
+  private static AlderyardException endedFailure(TransactionId id, TransactionEnd end) {
+    String message = "transaction " + id + " has ended: " + end.kind();
+    return hasNoEffect(end)
+        ? transactionLost(message)
+        : AlderyardException.unknown(ErrorCode.TRANSACTION_LOST, message, null);
   }
 
   /** Ends the transactions that exceed their limits. */
-  void expire() {
+  void endExpired() {
     for (TransactionId id : table.expired(clock.nowNanos())) {
-      table.find(id).ifPresent(open -> end(id, open, TransactionEnd.Kind.EXPIRED));
+      table.find(id).ifPresent(transaction -> end(id, transaction, TransactionEnd.Kind.EXPIRED));
     }
   }
 
   private void end(TransactionId id, OpenTransaction transaction, TransactionEnd.Kind kind) {
-    if (!table.remove(id, TransactionEnd.of(kind))) {
+    if (!table.markEnded(id, TransactionEnd.of(kind))) {
       return;
     }
     log.info("event=transaction-end id={} reason={}", id, kind);
@@ -302,7 +306,7 @@
     transaction.ended().complete(null);
   }
 
-  /** Done when the transaction has ended; a shutdown waits for it. */
+  /** Returns a future that completes when the transaction has ended; a shutdown waits for it. */
   public CompletableFuture<Void> ended(TransactionId id) {
     return table
         .find(id)
@@ -310,12 +314,12 @@
         .orElseGet(() -> CompletableFuture.completedFuture(null));
   }
 
-  /** Returns the group that a transaction is pinned to. */
+  /** Returns the group of an open transaction. */
   public Optional<GroupId> group(TransactionId id) {
     return table.find(id).map(OpenTransaction::group);
   }
 
-  /** Returns how many transactions are open. */
+  /** Returns the number of open transactions. */
   public int openCount() {
     return table.size();
   }
@@ -323,7 +327,7 @@
   @Override
   public void close() {
     for (TransactionId id : table.ids()) {
-      table.find(id).ifPresent(open -> end(id, open, TransactionEnd.Kind.EXPIRED));
+      table.find(id).ifPresent(transaction -> end(id, transaction, TransactionEnd.Kind.EXPIRED));
     }
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/transaction/TransactionTable.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/transaction/TransactionTable.java
@@ -10,85 +10,85 @@
 import org.alderyard.common.error.ErrorCode;
 
 /**
- * The open transactions of one proxy, and how the last ones ended.
+ * The open transactions of one proxy, and the ends of the most recent ones.
  *
- * <p>Thread-safe; its own lock is taken before that of a transaction.
+ * <p>Thread-safe; its lock is acquired before that of a transaction.
  */
 final class TransactionTable {
   private static final long RETRY_AFTER_MILLIS = 500;
 
   private final TransactionLimits limits;
   // Guarded by this.
-  private final Map<TransactionId, OpenTransaction> open = new HashMap<>();
-  private final Map<TransactionId, TransactionEnd> ends = new LinkedHashMap<>();
-  private int reserved;
+  private final Map<TransactionId, OpenTransaction> openTransactions = new HashMap<>();
+  private final Map<TransactionId, TransactionEnd> recentEnds = new LinkedHashMap<>();
+  private int reservedCount;
 
   TransactionTable(TransactionLimits limits) {
     this.limits = limits;
   }
 
-  /** Keeps a place for a transaction that is about to begin. */
+  /** Reserves capacity for a transaction that is about to begin. */
   synchronized void reserve() {
-    if (open.size() + reserved >= limits.maxOpen()) {
-      // NOT_RUN holds: no connection was taken for the transaction.
+    if (openTransactions.size() + reservedCount >= limits.maxOpen()) {
+      // NOT_RUN is accurate: no connection was taken for the transaction.
       throw AlderyardException.notRun(
           ErrorCode.OVERLOADED,
-          limits.maxOpen() + " transactions are open already",
+          limits.maxOpen() + " transactions are already open",
           RETRY_AFTER_MILLIS);
     }
-    reserved++;
+    reservedCount++;
   }
 
-  synchronized void unreserve() {
-    reserved--;
+  synchronized void cancelReservation() {
+    reservedCount--;
   }
 
   synchronized void add(TransactionId id, OpenTransaction transaction) {
-    reserved--;
-    open.put(id, transaction);
+    reservedCount--;
+    openTransactions.put(id, transaction);
   }
 
   synchronized Optional<OpenTransaction> find(TransactionId id) {
-    return Optional.ofNullable(open.get(id));
+    return Optional.ofNullable(openTransactions.get(id));
   }
 
-  synchronized Optional<TransactionEnd> end(TransactionId id) {
-    return Optional.ofNullable(ends.get(id));
+  synchronized Optional<TransactionEnd> findEnd(TransactionId id) {
+    return Optional.ofNullable(recentEnds.get(id));
   }
 
-  /** Ends a transaction; returns false if it has ended before. */
-  synchronized boolean remove(TransactionId id, TransactionEnd end) {
-    if (open.remove(id) == null) {
+  /** Ends a transaction; returns false if it has already ended. */
+  synchronized boolean markEnded(TransactionId id, TransactionEnd end) {
+    if (openTransactions.remove(id) == null) {
       return false;
     }
-    remember(id, end);
+    recordEnd(id, end);
     return true;
   }
 
-  /** Corrects how an ended transaction ended, once that is known. */
-  synchronized void remember(TransactionId id, TransactionEnd end) {
-    ends.put(id, end);
-    if (ends.size() > limits.maxEnded()) {
-      ends.remove(ends.keySet().iterator().next());
+  /** Records how a transaction ended, replacing an earlier record. */
+  synchronized void recordEnd(TransactionId id, TransactionEnd end) {
+    recentEnds.put(id, end);
+    if (recentEnds.size() > limits.maxEnded()) {
+      recentEnds.remove(recentEnds.keySet().iterator().next());
     }
   }
 
   synchronized List<TransactionId> expired(long nowNanos) {
-    List<TransactionId> result = new ArrayList<>();
-    open.forEach(
+    List<TransactionId> expiredIds = new ArrayList<>();
+    openTransactions.forEach(
         (id, transaction) -> {
           if (transaction.expired(limits, nowNanos)) {
-            result.add(id);
+            expiredIds.add(id);
           }
         });
-    return result;
+    return expiredIds;
   }
 
   synchronized List<TransactionId> ids() {
-    return List.copyOf(open.keySet());
+    return List.copyOf(openTransactions.keySet());
   }
 
   synchronized int size() {
-    return open.size();
+    return openTransactions.size();
   }
 }
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/transaction/TransactionServiceTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/transaction/TransactionServiceTest.java
@@ -32,13 +32,13 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What becomes of a transaction when its time, its connection or its answer is lost. */
+/** Tests transactions that expire, lose their connection or lose an answer. */
 class TransactionServiceTest {
-  private static final Duration LONG = Duration.ofMinutes(1);
-  private static final CallerId PACKER = new CallerId("packer");
+  private static final Duration TIMEOUT = Duration.ofMinutes(1);
+  private static final CallerId CALLER = new CallerId("packer");
   private static final TransactionLimits LIMITS =
       new TransactionLimits(Duration.ofSeconds(10), Duration.ofSeconds(60), 2, 100);
-  private static final AlderyardException BROKEN =
+  private static final AlderyardException CONNECTION_BROKEN =
       AlderyardException.unknown(ErrorCode.CONNECTION_LOST, "broken", null);
 
   private final WorkerPool workers = new WorkerPool("test", 1);
@@ -71,84 +71,96 @@
     workers.close();
   }
 
-  /** A packer goes home in the middle: the connection is not held for ever, nothing is done. */
+  /**
+   * An abandoned transaction is ended after the idle limit without effect, so that its connection
+   * is not held indefinitely.
+   */
   @Test
-  void idleTransactionIsDroppedWithItsConnection() {
+  void idleTransactionEndsAndItsConnectionCloses() {
     final TransactionId id = begin();
     clock.advance(LIMITS.idle());
-    transactions.expire();
+    transactions.endExpired();
 
     assertThat(servers.openConnections).isEqualTo(0);
-    AlderyardException late = failureOf(() -> transactions.commit(id, PACKER, LONG));
-    assertThat(late.code()).isEqualTo(ErrorCode.TRANSACTION_LOST);
-    assertThat(late.outcome()).isEqualTo(Outcome.NOT_RUN);
+    AlderyardException failure = failureOf(() -> transactions.commit(id, CALLER, TIMEOUT));
+    assertThat(failure.code()).isEqualTo(ErrorCode.TRANSACTION_LOST);
+    assertThat(failure.outcome()).isEqualTo(Outcome.NOT_RUN);
   }
 
-  /** A script keeps its transaction busy for an hour: the total limit ends it all the same. */
+  /** A transaction that is always busy is ended at the total limit. */
   @Test
   void busyTransactionEndsAtItsTotalLimit() {
     servers.thenRun(statement -> new CompletableFuture<>());
     final TransactionId id = begin();
-    transactions.run(id, PACKER, statement(), LONG);
+    transactions.run(id, CALLER, statement(), TIMEOUT);
     clock.advance(LIMITS.idle());
-    transactions.expire();
+    transactions.endExpired();
     assertThat(transactions.openCount()).isEqualTo(1);
 
     clock.advance(LIMITS.total());
-    transactions.expire();
+    transactions.endExpired();
 
     assertThat(transactions.openCount()).isEqualTo(0);
     assertThat(transactions.ended(id).isDone()).isTrue();
   }
 
-  /** The connection breaks under a statement: no commit was sent, so nothing has an effect. */
+  /**
+   * If the connection breaks during a statement, no commit was sent and the transaction has no
+   * effect.
+   */
   @Test
   void brokenStatementLosesTheTransaction() {
-    servers.thenFail(BROKEN);
+    servers.thenFail(CONNECTION_BROKEN);
     final TransactionId id = begin();
 
-    AlderyardException failure = failureOf(() -> transactions.run(id, PACKER, statement(), LONG));
+    AlderyardException failure =
+        failureOf(() -> transactions.run(id, CALLER, statement(), TIMEOUT));
 
     assertThat(failure.code()).isEqualTo(ErrorCode.TRANSACTION_LOST);
     assertThat(failure.outcome()).isEqualTo(Outcome.NOT_RUN);
     assertThat(servers.openConnections).isEqualTo(0);
   }
 
-  /** The answer to a commit is lost: it may have been done, and stays unknown when asked again. */
+  /**
+   * If the answer to a commit is lost, the outcome is unknown and stays unknown for a resent
+   * commit.
+   */
   @Test
   void lostAnswerToCommitStaysUnknown() {
-    servers.thenFail(BROKEN);
+    servers.thenFail(CONNECTION_BROKEN);
     final TransactionId id = begin();
 
-    for (int sending = 0; sending < 2; sending++) {
-      assertThat(failureOf(() -> transactions.commit(id, PACKER, LONG)).outcome())
+    for (int attempt = 0; attempt < 2; attempt++) {
+      assertThat(failureOf(() -> transactions.commit(id, CALLER, TIMEOUT)).outcome())
           .isEqualTo(Outcome.OUTCOME_UNKNOWN);
     }
-    assertThat(failureOf(() -> transactions.rollback(id, PACKER, LONG)).outcome())
+    assertThat(failureOf(() -> transactions.rollback(id, CALLER, TIMEOUT)).outcome())
         .isEqualTo(Outcome.OUTCOME_UNKNOWN);
   }
 
-  /** A caller sends two statements at once: the second must not use the busy connection. */
+  /** Guards against two concurrent requests of a transaction on one connection. */
   @Test
-  void secondRequestAtTheSameTimeIsRefused() {
+  void concurrentRequestIsRejected() {
     servers.thenRun(statement -> new CompletableFuture<BackendAnswer>());
     final TransactionId id = begin();
-    transactions.run(id, PACKER, statement(), LONG);
+    transactions.run(id, CALLER, statement(), TIMEOUT);
 
-    AlderyardException second = failureOf(() -> transactions.run(id, PACKER, statement(), LONG));
+    AlderyardException failure =
+        failureOf(() -> transactions.run(id, CALLER, statement(), TIMEOUT));
 
-    assertThat(second.code()).isEqualTo(ErrorCode.REQUEST_IN_PROGRESS);
+    assertThat(failure.code()).isEqualTo(ErrorCode.REQUEST_IN_PROGRESS);
     assertThat(servers.sent).hasSize(1);
   }
 
-  /** One caller must not write into the transaction of another one, and too many are refused. */
+  /** Requests of other callers and transactions beyond the limit are rejected. */
   @Test
-  void foreignCallersAndTooManyTransactionsAreRefused() {
+  void otherCallersAndExcessTransactionsAreRejected() {
     final TransactionId id = begin();
     begin();
 
     assertThat(
-            failureOf(() -> transactions.run(id, new CallerId("other"), statement(), LONG)).code())
+            failureOf(() -> transactions.run(id, new CallerId("other"), statement(), TIMEOUT))
+                .code())
         .isEqualTo(ErrorCode.TRANSACTION_UNKNOWN);
     assertThat(failureOf(() -> CompletableFuture.completedFuture(begin())).code())
         .isEqualTo(ErrorCode.OVERLOADED);
@@ -156,7 +168,7 @@
 
   private TransactionId begin() {
     return transactions
-        .begin(PACKER, TestGroup.pool(WriteAcknowledgement.PRIMARY_ONLY), TestGroup.GROUP, LONG)
+        .begin(CALLER, TestGroup.pool(WriteAcknowledgement.PRIMARY_ONLY), TestGroup.GROUP, TIMEOUT)
         .join();
   }
 
