--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/session/Requirement.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/session/Requirement.java
@@ -5,31 +5,31 @@
 import org.alderyard.common.id.Position;
 
 /**
- * What a session demands of the server that answers a read of one group.
+ * The requirement of a session on the server that answers a read of one group.
  *
  * @param position the position that the server must have applied; {@link Position#NONE} for none
- * @param primaryOnly whether the position was folded away, so that only the primary is sure to hold
- *     it
+ * @param primaryOnly whether the position was dropped from the session, so that only the primary is
+ *     certain to hold it
  */
 public record Requirement(Position position, boolean primaryOnly) {
-  /** A session that has not touched the group. */
+  /** The requirement of a session that has not accessed the group. */
   public static final Requirement NONE = new Requirement(Position.NONE, false);
 
-  /** A session whose position in the group was folded away. */
+  /** The requirement of a session whose position in the group was dropped. */
   public static final Requirement PRIMARY = new Requirement(Position.NONE, true);
 
-  /** Checks. */
+  /** Rejects a null position. */
   public Requirement {
     Objects.requireNonNull(position);
   }
 
-  /** Returns the requirement of a position. */
+  /** Returns the requirement that a server has applied a position. */
   public static Requirement atLeast(Position position) {
     return new Requirement(position, false);
   }
 
-  /** Returns the position, if there is one. */
-  public Optional<Position> known() {
+  /** Returns the required position; empty if there is none. */
+  public Optional<Position> optionalPosition() {
     return position.equals(Position.NONE) ? Optional.empty() : Optional.of(position);
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/session/SessionState.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/session/SessionState.java
@@ -16,17 +16,22 @@
 import org.alderyard.common.view.View;
 
 /**
- * What a session has seen: one position for each group, the group touched last at the end.
+ * The position that a session has observed in each group, ordered from the least to the most
+ * recently accessed group.
  *
- * <p>Immutable. It holds at most {@link #MAX_GROUPS} positions; older ones are dropped and the
- * state says so by {@link #folded()}, which costs replica reads and never correctness.
+ * <p>Immutable. A session holds at most {@link #MAX_GROUPS} positions; older ones are dropped,
+ * which {@link #folded()} reports. Reads of a group whose position was dropped need the primary and
+ * remain correct.
  */
 public final class SessionState {
-  /** The most positions that a session carries. */
+  /** The maximum number of positions in a session. */
   public static final int MAX_GROUPS = 64;
 
-  /** How long a view lags behind one that another proxy acts on, at most in ordinary times. */
-  private static final long VIEW_LAG_MILLIS = 200;
+  /**
+   * Retry delay for a stale view: in normal operation the views of two proxies differ by at most
+   * this time.
+   */
+  private static final long VIEW_RETRY_AFTER_MILLIS = 200;
 
   private final PoolName pool;
   private final Map<GroupId, Position> positions;
@@ -34,26 +39,26 @@
 
   private SessionState(PoolName pool, LinkedHashMap<GroupId, Position> positions, boolean folded) {
     this.pool = Objects.requireNonNull(pool);
-    this.folded = folded | trim(positions);
+    this.folded = folded | dropOldest(positions);
     this.positions = Collections.unmodifiableMap(positions);
   }
 
-  private static boolean trim(LinkedHashMap<GroupId, Position> positions) {
-    boolean trimmed = positions.size() > MAX_GROUPS;
+  private static boolean dropOldest(LinkedHashMap<GroupId, Position> positions) {
+    boolean dropped = positions.size() > MAX_GROUPS;
     Iterator<GroupId> oldest = positions.keySet().iterator();
     while (positions.size() > MAX_GROUPS) {
       oldest.next();
       oldest.remove();
     }
-    return trimmed;
+    return dropped;
   }
 
-  /** Returns a session that has seen nothing. */
+  /** Returns a session without positions. */
   public static SessionState empty(PoolName pool) {
     return new SessionState(pool, new LinkedHashMap<>(), false);
   }
 
-  /** Returns a session with the given positions, the group touched last at the end. */
+  /** Returns a session with the given positions, the most recently accessed group last. */
   public static SessionState of(PoolName pool, Map<GroupId, Position> positions, boolean folded) {
     return new SessionState(pool, new LinkedHashMap<>(positions), folded);
   }
@@ -63,17 +68,17 @@
     return pool;
   }
 
-  /** Returns the positions, the group touched last at the end. */
+  /** Returns the positions, the most recently accessed group last. */
   public Map<GroupId, Position> positions() {
     return positions;
   }
 
-  /** Returns whether positions were dropped for size. */
+  /** Returns whether positions were dropped because of {@link #MAX_GROUPS}. */
   public boolean folded() {
     return folded;
   }
 
-  /** Returns what a server must have applied to answer a read of the group. */
+  /** Returns the requirement on a server that answers a read of the group. */
   public Requirement requirement(GroupId group) {
     Position position = positions.get(group);
     if (position != null) {
@@ -83,28 +88,29 @@
   }
 
   /**
-   * Returns the session after it saw a position.
+   * Returns this session updated with an observed position.
    *
-   * <p>A position that the group has lost stays, although the new one is of a later term: the next
-   * request with the token tells the loss, which the new position would hide. The request that saw
-   * it is answered all the same, since it may be a write that ran.
+   * <p>A position that the group has lost is kept even if the observed position is of a later term,
+   * so that the next request with the token reports the loss instead of hiding it. The request that
+   * observed the position is answered normally, since it may be a write that ran.
    *
-   * @param group the group in a view that knows the term of the position
+   * @param group the group in a view that contains the term of the observed position
    */
-  public SessionState observe(GroupState group, Position seen) {
-    LinkedHashMap<GroupId, Position> next = new LinkedHashMap<>(positions);
-    Position held = next.remove(group.id());
-    boolean keep = held != null && (group.lost(held) || held.compareTo(seen) > 0);
-    next.put(group.id(), keep ? held : seen);
-    return new SessionState(pool, next, folded);
+  public SessionState observe(GroupState group, Position observed) {
+    LinkedHashMap<GroupId, Position> updated = new LinkedHashMap<>(positions);
+    Position current = updated.remove(group.id());
+    boolean keepCurrent =
+        current != null && (group.lost(current) || current.compareTo(observed) > 0);
+    updated.put(group.id(), keepCurrent ? current : observed);
+    return new SessionState(pool, updated, folded);
   }
 
   /**
-   * Returns a session that has seen what both have seen.
+   * Returns a session that requires what either session requires.
    *
-   * <p>A caller with requests in flight together gets a token from each; it sends all of them back.
-   * The caller of this method runs {@link #checkTail(View)} on both sides first, since the later
-   * term of one side would hide a position of the other one that was lost.
+   * <p>A caller with concurrent requests receives a token from each and sends all of them back.
+   * Call {@link #checkNotLost(View)} on both sides first, since the later term of one side would
+   * hide a lost position of the other.
    */
   public SessionState merge(SessionState other) {
     if (!pool.equals(other.pool)) {
@@ -112,26 +118,32 @@
     }
     LinkedHashMap<GroupId, Position> merged = interleave(positions, other.positions);
     merged.replaceAll(
-        (group, position) -> later(position, other.positions.getOrDefault(group, Position.NONE)));
-    merged.keySet().removeIf(group -> foldedAway(group) || other.foldedAway(group));
+        (group, position) -> laterOf(position, other.positions.getOrDefault(group, Position.NONE)));
+    merged.keySet().removeIf(group -> positionDropped(group) || other.positionDropped(group));
     return new SessionState(pool, merged, folded || other.folded);
   }
 
-  /** A side that dropped positions may have seen more of the group than the other side holds. */
-  private boolean foldedAway(GroupId group) {
+  /**
+   * A side that dropped positions may have observed a later position of the group than the other
+   * side holds.
+   */
+  private boolean positionDropped(GroupId group) {
     return requirement(group).primaryOnly();
   }
 
-  /** Keeps the recency order of both sides, so that the oldest of either one is dropped first. */
+  /**
+   * Preserves the access order of both sides, so that the least recently accessed groups of either
+   * are dropped first.
+   */
   private static LinkedHashMap<GroupId, Position> interleave(
       Map<GroupId, Position> first, Map<GroupId, Position> second) {
-    List<Map.Entry<GroupId, Position>> left = new ArrayList<>(first.entrySet());
-    List<Map.Entry<GroupId, Position>> right = new ArrayList<>(second.entrySet());
+    List<Map.Entry<GroupId, Position>> firstEntries = new ArrayList<>(first.entrySet());
+    List<Map.Entry<GroupId, Position>> secondEntries = new ArrayList<>(second.entrySet());
     LinkedHashMap<GroupId, Position> result = new LinkedHashMap<>();
-    int steps = Math.max(left.size(), right.size());
-    for (int behindLast = steps; behindLast >= 1; behindLast--) {
-      putFromEnd(result, left, behindLast);
-      putFromEnd(result, right, behindLast);
+    int length = Math.max(firstEntries.size(), secondEntries.size());
+    for (int offsetFromEnd = length; offsetFromEnd >= 1; offsetFromEnd--) {
+      putFromEnd(result, firstEntries, offsetFromEnd);
+      putFromEnd(result, secondEntries, offsetFromEnd);
     }
     return result;
   }
@@ -139,71 +151,73 @@
   private static void putFromEnd(
       LinkedHashMap<GroupId, Position> result,
       List<Map.Entry<GroupId, Position>> entries,
-      int behindLast) {
-    int at = entries.size() - behindLast;
-    if (at < 0) {
+      int offsetFromEnd) {
+    int index = entries.size() - offsetFromEnd;
+    if (index < 0) {
       return;
     }
-    Map.Entry<GroupId, Position> entry = entries.get(at);
-    Position held = result.remove(entry.getKey());
-    result.put(entry.getKey(), held == null ? entry.getValue() : later(held, entry.getValue()));
+    Map.Entry<GroupId, Position> entry = entries.get(index);
+    Position current = result.remove(entry.getKey());
+    result.put(
+        entry.getKey(), current == null ? entry.getValue() : laterOf(current, entry.getValue()));
   }
 
   /**
-   * Checks the position that the session holds in one group against the terms of the group.
+   * Checks that the position of the session in one group was not lost in a failover.
    *
-   * <p>Guards against a failover that lost the tail of the old primary: an index of the old term is
-   * reached again by other entries of the new term, so comparing positions alone would call a
-   * server up to date that never held what the session saw. The history of terms tells both apart.
+   * <p>A failover may lose the last entries of the old primary, and the new term then reuses their
+   * indexes for other entries. Comparing positions alone would accept a server that never held the
+   * entries that the session observed; the term history of the group distinguishes them.
    *
    * @throws AlderyardException with {@code SESSION_TAIL_LOST} if the position was lost, or with the
-   *     retryable {@code NO_PRIMARY} if the session has seen a term that the view does not know yet
+   *     retryable {@code NO_PRIMARY} if the session has observed a term that the view does not
+   *     contain yet
    */
-  public void checkTail(GroupState group) {
-    Position held = positions.get(group.id());
-    if (held == null) {
+  public void checkNotLost(GroupState group) {
+    Position current = positions.get(group.id());
+    if (current == null) {
       return;
     }
-    if (held.term() > group.term()) {
+    if (current.term() > group.term()) {
       throw AlderyardException.notRun(
           ErrorCode.NO_PRIMARY,
-          "the session has seen term "
-              + held.term()
+          "the session has observed term "
+              + current.term()
               + " of group "
               + group.id()
-              + "; this proxy knows term "
+              + "; the view of this proxy is at term "
               + group.term()
-              + " and waits for the newer view",
-          VIEW_LAG_MILLIS);
+              + " and will be updated",
+          VIEW_RETRY_AFTER_MILLIS);
     }
-    if (group.lost(held)) {
+    if (group.lost(current)) {
       throw AlderyardException.notRun(
           ErrorCode.SESSION_TAIL_LOST,
           "group "
               + group.id()
               + " lost position "
-              + held
+              + current
               + " of this session in a failover to term "
               + group.term()
-              + "; start a new session to read what the group holds now");
+              + "; start a new session to read the current data");
     }
   }
 
   /** Checks every position against the groups of the view; groups that were removed are ignored. */
-  public void checkTail(View view) {
+  public void checkNotLost(View view) {
     for (GroupId group : positions.keySet()) {
-      view.group(group).ifPresent(this::checkTail);
+      view.group(group).ifPresent(this::checkNotLost);
     }
   }
 
-  private AlderyardException wrongPool(PoolName found) {
+  private AlderyardException wrongPool(PoolName tokenPool) {
     return AlderyardException.notRun(
         ErrorCode.TOKEN_WRONG_POOL,
-        "the session token belongs to pool " + found + "; accepted is one of pool " + pool);
+        "the session token belongs to pool " + tokenPool + "; expected a token of pool " + pool);
   }
 
-  private static Position later(Position left, Position right) {
-    return left.compareTo(right) >= 0 ? left : right;
+  private static Position laterOf(Position first, Position second) {
+    return first.compareTo(second) >= 0 ? first : second;
   }
 
   @Override
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/session/SessionTokens.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/session/SessionTokens.java
@@ -27,11 +27,11 @@
 import org.alderyard.protocol.generated.session.SignedToken;
 
 /**
- * Writes and reads the text form of session tokens: signed protobuf in base64url.
+ * Encodes and decodes session tokens: signed protobuf in base64url.
  *
- * <p>The first key of the view signs, every key of the view verifies. To rotate without a refused
- * token, one ticket adds the new key behind the signing one, and a second ticket moves it to the
- * front once the first is in force everywhere.
+ * <p>The first key of the view signs; every key of the view verifies. To rotate keys without
+ * rejecting a token, add the new key after the signing key with one ticket, and move it to the
+ * front with a second ticket once the first is in force on all hosts.
  *
  * <pre>{@code
  * SessionTokens tokens = new SessionTokens(InstantSource.system(), Duration.ofHours(24));
@@ -40,33 +40,38 @@
  * }</pre>
  */
 public final class SessionTokens {
-  /** The longest text that is read; a full token with the longest names is shorter. */
+  /** The maximum length of a token; a token with all positions and the longest names is shorter. */
   public static final int MAX_TEXT_LENGTH = 16 * 1024;
 
-  /** The most tokens that one request may carry. */
+  /** The maximum number of tokens per request. */
   public static final int MAX_TOKENS = 16;
 
   private static final String ALGORITHM = "HmacSHA256";
 
-  /** Signed before the content, so that no other use of the keys yields a valid token. */
-  private static final byte[] PURPOSE = "alderyard session 1\n".getBytes(StandardCharsets.US_ASCII);
+  /**
+   * Prefix of the signed bytes, so that a signature made with the same key for another purpose is
+   * not a valid token.
+   */
+  private static final byte[] DOMAIN_SEPARATOR =
+      "alderyard session 1\n".getBytes(StandardCharsets.US_ASCII);
 
   private static final Base64.Encoder ENCODER = Base64.getUrlEncoder().withoutPadding();
-  private static final String SEPARATOR = ",";
+  private static final String TOKEN_SEPARATOR = ",";
 
   private final InstantSource wallClock;
   private final Duration maxAge;
 
-  /** Creates a codec that refuses tokens which were issued longer ago than the given age. */
+  /** Creates a codec that rejects tokens older than the given age. */
   public SessionTokens(InstantSource wallClock, Duration maxAge) {
     this.wallClock = Objects.requireNonNull(wallClock);
     this.maxAge = Objects.requireNonNull(maxAge);
   }
 
   /**
-   * Returns the signed text of a session.
+   * Returns the signed token of a session.
    *
-   * @throws AlderyardException with {@code NO_ELIGIBLE_SERVER} if the view holds no key yet
+   * @throws AlderyardException with {@code NO_ELIGIBLE_SERVER} if the view does not contain a key
+   *     yet
    */
   public String write(SessionState session, View view) {
     SigningKey key = signingKey(view);
@@ -95,36 +100,36 @@
   }
 
   /**
-   * Reads the tokens of one request, separated by commas, and merges them.
+   * Reads and merges the tokens of one request, which are separated by commas.
    *
-   * @param text the header's value; empty or null for a new session
+   * @param text the value of the header; empty or null for a new session
    * @param pool the pool that the request addresses
-   * @param view the view that the request is routed by
+   * @param view the view by which the request is routed
    * @throws AlderyardException with {@code TOKEN_DAMAGED}, {@code TOKEN_FORGED}, {@code
-   *     TOKEN_EXPIRED}, {@code TOKEN_WRONG_POOL} or {@code SESSION_TAIL_LOST}; a token is never
-   *     ignored, since the caller would read older data than it saw
+   *     TOKEN_EXPIRED}, {@code TOKEN_WRONG_POOL} or {@code SESSION_TAIL_LOST}; an invalid token is
+   *     never ignored, since the caller would then read older data than it has observed
    */
   public SessionState read(String text, PoolName pool, View view) {
     if (text == null || text.isBlank()) {
       return SessionState.empty(pool);
     }
-    String[] parts = text.split(SEPARATOR, MAX_TOKENS + 1);
-    if (parts.length > MAX_TOKENS) {
+    String[] tokenTexts = text.split(TOKEN_SEPARATOR, MAX_TOKENS + 1);
+    if (tokenTexts.length > MAX_TOKENS) {
       throw AlderyardException.notRun(
           ErrorCode.BAD_REQUEST,
-          "more than " + MAX_TOKENS + " session tokens; send those of the latest answers");
+          "more than " + MAX_TOKENS + " session tokens; send only those of the latest responses");
     }
     SessionState merged = SessionState.empty(pool);
-    for (String part : parts) {
-      SessionState session = readOne(part.strip(), pool, view.keys());
-      // Each token on its own: after the merge a later term would hide a lost position.
-      session.checkTail(view);
+    for (String tokenText : tokenTexts) {
+      SessionState session = readToken(tokenText.strip(), pool, view.keys());
+      // Checked before the merge, since a later term of another token would hide a lost position.
+      session.checkNotLost(view);
       merged = merged.merge(session);
     }
     return merged;
   }
 
-  private SessionState readOne(String text, PoolName pool, List<SigningKey> keys) {
+  private SessionState readToken(String text, PoolName pool, List<SigningKey> keys) {
     SignedToken signed = parseSigned(text);
     SigningKey key = verifyingKey(signed.getKeyId(), keys);
     byte[] expected = hmac(key, signed.getContent());
@@ -138,27 +143,28 @@
           ErrorCode.TOKEN_WRONG_POOL,
           "the session token belongs to pool "
               + token.getPool()
-              + "; accepted is one of pool "
+              + "; expected a token of pool "
               + pool);
     }
     checkAge(token.getIssuedAtSeconds());
-    return state(token, pool);
+    return toState(token, pool);
   }
 
   private static SignedToken parseSigned(String text) {
     if (text.isEmpty() || text.length() > MAX_TEXT_LENGTH) {
-      throw damaged(text.length() + " characters; accepted are 1 to " + MAX_TEXT_LENGTH, null);
+      throw damagedToken(
+          text.length() + " characters; the allowed length is 1 to " + MAX_TEXT_LENGTH, null);
     }
     try {
       byte[] bytes = Base64.getUrlDecoder().decode(text);
-      // The decoder ignores the last bits of a text whose length is no multiple of four, so that
-      // a changed last character could pass.
+      // The decoder ignores the unused bits of the last character if the length is not a multiple
+      // of four, so that a modified last character could pass.
       if (!text.equals(ENCODER.encodeToString(bytes))) {
-        throw damaged("its text is not the one that was issued", null);
+        throw damagedToken("it is not in the canonical base64url form", null);
       }
       return SignedToken.parseFrom(bytes);
     } catch (IllegalArgumentException | InvalidProtocolBufferException failure) {
-      throw damaged("it is not a signed token in base64url", failure);
+      throw damagedToken("it is not a signed token in base64url", failure);
     }
   }
 
@@ -166,11 +172,11 @@
     try {
       return SessionToken.parseFrom(content);
     } catch (InvalidProtocolBufferException failure) {
-      throw damaged("its content does not parse", failure);
+      throw damagedToken("its content cannot be parsed", failure);
     }
   }
 
-  private static AlderyardException damaged(String detail, Exception cause) {
+  private static AlderyardException damagedToken(String detail, Exception cause) {
     return new AlderyardException(
         ErrorCode.TOKEN_DAMAGED, Outcome.NOT_RUN, "the session token is damaged: " + detail, cause);
   }
@@ -182,10 +188,13 @@
             () ->
                 AlderyardException.notRun(
                     ErrorCode.NO_ELIGIBLE_SERVER,
-                    "no key for session tokens is in force; a ticket must bring a key ring"));
+                    "no key for session tokens is in force; submit a ticket with a key ring"));
   }
 
-  /** A key that a ticket retired, or one that this proxy's view does not hold yet. */
+  /**
+   * Returns the key with the ID; fails if a ticket retired the key or the view does not contain it
+   * yet.
+   */
   private static SigningKey verifyingKey(int id, List<SigningKey> keys) {
     return keys.stream()
         .filter(key -> key.id() == id)
@@ -204,13 +213,13 @@
           ErrorCode.TOKEN_EXPIRED,
           "the session token is "
               + ageSeconds
-              + " s old; accepted are "
+              + " s old; the maximum is "
               + maxAge.toSeconds()
-              + " s at most");
+              + " s");
     }
   }
 
-  private static SessionState state(SessionToken token, PoolName pool) {
+  private static SessionState toState(SessionToken token, PoolName pool) {
     Map<GroupId, Position> positions = new LinkedHashMap<>();
     for (GroupPosition entry : token.getPositionsList()) {
       positions.put(new GroupId(entry.getGroup()), new Position(entry.getTerm(), entry.getIndex()));
@@ -222,11 +231,11 @@
     try {
       Mac mac = Mac.getInstance(ALGORITHM);
       mac.init(new SecretKeySpec(key.secret(), ALGORITHM));
-      mac.update(PURPOSE);
+      mac.update(DOMAIN_SEPARATOR);
       mac.update(content.asReadOnlyByteBuffer());
       return mac.doFinal();
     } catch (GeneralSecurityException failure) {
-      throw new IllegalStateException("every Java runtime brings " + ALGORITHM, failure);
+      throw new IllegalStateException("every Java runtime supports " + ALGORITHM, failure);
     }
   }
 }
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/session/SessionTokensTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/session/SessionTokensTest.java
@@ -31,7 +31,7 @@
 import org.alderyard.common.view.ViewVersion;
 import org.junit.jupiter.api.Test;
 
-/** Tokens that callers carry between proxies, whole and damaged. */
+/** Tests valid and damaged session tokens that move between proxies. */
 class SessionTokensTest {
   private static final PoolName POOL = new PoolName("listings");
   private static final GroupId GROUP = new GroupId("g1");
@@ -41,9 +41,9 @@
 
   private final SessionTokens tokens = new SessionTokens(() -> NOW, Duration.ofHours(24));
 
-  private static SigningKey key(int id, byte fill) {
+  private static SigningKey key(int id, byte fillByte) {
     byte[] secret = new byte[32];
-    Arrays.fill(secret, fill);
+    Arrays.fill(secret, fillByte);
     return new SigningKey(id, secret);
   }
 
@@ -63,7 +63,7 @@
     return SessionState.of(POOL, Map.of(GROUP, position), false);
   }
 
-  private ErrorCode refusal(String text, PoolName pool, View view) {
+  private ErrorCode rejection(String text, PoolName pool, View view) {
     AlderyardException error =
         assertThrows(AlderyardException.class, () -> tokens.read(text, pool, view));
     assertThat(error.outcome()).isEqualTo(Outcome.NOT_RUN);
@@ -74,15 +74,15 @@
   Arbitrary<Map<GroupId, Position>> positions() {
     Arbitrary<GroupId> groups =
         Arbitraries.integers().between(0, 90).map(n -> new GroupId("g" + n));
-    Arbitrary<Position> places =
+    Arbitrary<Position> positionValues =
         Arbitraries.longs()
             .between(1, 5)
             .flatMap(t -> Arbitraries.longs().between(1, 1000).map(i -> new Position(t, i)));
-    return Arbitraries.maps(groups, places).ofMaxSize(SessionState.MAX_GROUPS);
+    return Arbitraries.maps(groups, positionValues).ofMaxSize(SessionState.MAX_GROUPS);
   }
 
   @Property(seed = "20261202", tries = 200)
-  void textGivesTheSessionBack(
+  void roundTripRestoresSession(
       @ForAll("positions") Map<GroupId, Position> positions, @ForAll boolean folded) {
     SessionState session = SessionState.of(POOL, positions, folded);
     View view = view(List.of(NEW_KEY));
@@ -93,7 +93,7 @@
   }
 
   @Property(seed = "20261202", tries = 200)
-  void mergeDemandsAllThatEitherSideDemands(
+  void mergeRequiresAllThatEitherSideRequires(
       @ForAll("positions") Map<GroupId, Position> leftPositions,
       @ForAll("positions") Map<GroupId, Position> rightPositions,
       @ForAll boolean leftFolded,
@@ -105,127 +105,133 @@
     for (int i = 0; i <= 90; i++) {
       GroupId group = new GroupId("g" + i);
       for (Requirement side : List.of(left.requirement(group), right.requirement(group))) {
-        Requirement demanded = merged.requirement(group);
+        Requirement mergedRequirement = merged.requirement(group);
         assertThat(
-                demanded.primaryOnly()
-                    || !side.primaryOnly() && demanded.position().compareTo(side.position()) >= 0)
+                mergedRequirement.primaryOnly()
+                    || !side.primaryOnly()
+                        && mergedRequirement.position().compareTo(side.position()) >= 0)
             .isTrue();
       }
     }
   }
 
   @Property(seed = "20261202", tries = 300)
-  void noFlippedBitIsAccepted(@ForAll @IntRange(min = 0, max = 100_000) int place) {
+  void everyFlippedBitIsRejected(@ForAll @IntRange(min = 0, max = 100_000) int offset) {
     View view = view(List.of(OLD_KEY, NEW_KEY));
     byte[] bytes = Base64.getUrlDecoder().decode(tokens.write(session(new Position(3, 40)), view));
-    int bit = place % (bytes.length * 8);
+    int bit = offset % (bytes.length * 8);
     bytes[bit / 8] ^= (byte) (1 << (bit % 8));
     String damaged = Base64.getUrlEncoder().withoutPadding().encodeToString(bytes);
-    assertThat(refusal(damaged, POOL, view))
+    assertThat(rejection(damaged, POOL, view))
         .isAnyOf(ErrorCode.TOKEN_DAMAGED, ErrorCode.TOKEN_FORGED, ErrorCode.TOKEN_EXPIRED);
   }
 
   /**
-   * A caller's cookie jar changes the last character of a token. The decoder ignores the bits that
-   * a last character has too many, and the token passed as if it were whole.
+   * Guards against a modified last character: the base64 decoder ignores its unused bits, so the
+   * token would be accepted.
    */
   @Test
-  void everyChangedCharacterIsRefused() {
+  void everyChangedCharacterIsRejected() {
     View view = view(List.of(OLD_KEY));
     for (long index : new long[] {1, 200, 40_000}) {
       String text = tokens.write(session(new Position(3, index)), view);
       for (int i = 0; i < text.length(); i++) {
         char other = text.charAt(i) == 'B' ? 'C' : 'B';
         String changed = text.substring(0, i) + other + text.substring(i + 1);
-        assertThat(refusal(changed, POOL, view))
+        assertThat(rejection(changed, POOL, view))
             .isAnyOf(ErrorCode.TOKEN_DAMAGED, ErrorCode.TOKEN_FORGED, ErrorCode.TOKEN_EXPIRED);
       }
     }
   }
 
   @Test
-  void everyTruncationIsRefused() {
+  void everyTruncationIsRejected() {
     View view = view(List.of(OLD_KEY));
     String text = tokens.write(session(new Position(3, 40)), view);
     for (int length = 1; length < text.length(); length++) {
-      assertThat(refusal(text.substring(0, length), POOL, view))
+      assertThat(rejection(text.substring(0, length), POOL, view))
           .isAnyOf(ErrorCode.TOKEN_DAMAGED, ErrorCode.TOKEN_FORGED, ErrorCode.TOKEN_EXPIRED);
     }
-    assertThat(refusal("not base64 at all!", POOL, view)).isEqualTo(ErrorCode.TOKEN_DAMAGED);
-    assertThat(refusal("A".repeat(20_000), POOL, view)).isEqualTo(ErrorCode.TOKEN_DAMAGED);
+    assertThat(rejection("not base64 at all!", POOL, view)).isEqualTo(ErrorCode.TOKEN_DAMAGED);
+    assertThat(rejection("A".repeat(20_000), POOL, view)).isEqualTo(ErrorCode.TOKEN_DAMAGED);
   }
 
   @Test
-  void tokenMovesAcrossKeyRotation() {
+  void tokenRemainsValidDuringKeyRotation() {
     String old = tokens.write(session(new Position(1, 5)), view(List.of(OLD_KEY)));
     View rotated = view(List.of(NEW_KEY, OLD_KEY));
     assertThat(tokens.read(old, POOL, rotated)).isEqualTo(session(new Position(1, 5)));
-    assertThat(refusal(old, POOL, view(List.of(NEW_KEY)))).isEqualTo(ErrorCode.TOKEN_EXPIRED);
+    assertThat(rejection(old, POOL, view(List.of(NEW_KEY)))).isEqualTo(ErrorCode.TOKEN_EXPIRED);
   }
 
   @Test
   void tokenSignedWithAnotherSecretIsForged() {
     String forged =
         tokens.write(session(new Position(1, 5)), view(List.of(key(OLD_KEY.id(), (byte) 8))));
-    assertThat(refusal(forged, POOL, view(List.of(OLD_KEY)))).isEqualTo(ErrorCode.TOKEN_FORGED);
+    assertThat(rejection(forged, POOL, view(List.of(OLD_KEY)))).isEqualTo(ErrorCode.TOKEN_FORGED);
   }
 
   @Test
-  void tokenOfAnotherPoolAndOldTokenAreRefused() {
+  void tokenOfAnotherPoolAndOldTokenAreRejected() {
     View view = view(List.of(OLD_KEY));
     String text = tokens.write(session(new Position(1, 5)), view);
-    assertThat(refusal(text, new PoolName("ledger"), view)).isEqualTo(ErrorCode.TOKEN_WRONG_POOL);
-    SessionTokens nextWeek =
+    assertThat(rejection(text, new PoolName("ledger"), view)).isEqualTo(ErrorCode.TOKEN_WRONG_POOL);
+    SessionTokens tokensNextWeek =
         new SessionTokens(() -> NOW.plus(Duration.ofDays(7)), Duration.ofHours(24));
     AlderyardException error =
-        assertThrows(AlderyardException.class, () -> nextWeek.read(text, POOL, view));
+        assertThrows(AlderyardException.class, () -> tokensNextWeek.read(text, POOL, view));
     assertThat(error.code()).isEqualTo(ErrorCode.TOKEN_EXPIRED);
   }
 
   /**
-   * A coordinator moves a room and reads the calendar after a failover. The old primary had written
-   * index 100; term 2 began at 40 and has since written past 100. By index alone every server looks
-   * fresh, but the move is gone: the coordinator must be told, not shown the old room.
+   * Guards against stale reads after a failover. The session observed index 100 of term 1; term 2
+   * started at index 40 and has passed 100. By index alone every server appears current, but the
+   * observed write is lost and the caller must receive an error.
    */
   @Test
-  void lostTailIsToldThoughTheIndexWasReachedAgain() {
-    View after = view(List.of(OLD_KEY), group(2, new TermStart(1, 0), new TermStart(2, 40)));
-    String token = tokens.write(session(new Position(1, 100)), after);
-    assertThat(refusal(token, POOL, after)).isEqualTo(ErrorCode.SESSION_TAIL_LOST);
-    String kept = tokens.write(session(new Position(1, 40)), after);
-    assertThat(tokens.read(kept, POOL, after)).isEqualTo(session(new Position(1, 40)));
+  void lostTailIsReportedAlthoughItsIndexIsReused() {
+    View viewAfterFailover =
+        view(List.of(OLD_KEY), group(2, new TermStart(1, 0), new TermStart(2, 40)));
+    String token = tokens.write(session(new Position(1, 100)), viewAfterFailover);
+    assertThat(rejection(token, POOL, viewAfterFailover)).isEqualTo(ErrorCode.SESSION_TAIL_LOST);
+    String keptToken = tokens.write(session(new Position(1, 40)), viewAfterFailover);
+    assertThat(tokens.read(keptToken, POOL, viewAfterFailover))
+        .isEqualTo(session(new Position(1, 40)));
   }
 
   /**
-   * A page has two requests in flight on two proxies when the primary is replaced: one token names
-   * the lost index 100 of term 1, the other one index 150 of term 2. Merged first, the later term
-   * would hide the loss; so each token is checked on its own.
+   * Two concurrent requests span a failover: one token holds the lost index 100 of term 1, the
+   * other index 150 of term 2. Merging them first would hide the loss behind the later term, so
+   * each token is checked separately.
    */
   @Test
   void mergeDoesNotHideLostTail() {
-    View after = view(List.of(OLD_KEY), group(2, new TermStart(1, 0), new TermStart(2, 40)));
-    String lost = tokens.write(session(new Position(1, 100)), after);
-    String fine = tokens.write(session(new Position(2, 150)), after);
-    assertThat(refusal(lost + "," + fine, POOL, after)).isEqualTo(ErrorCode.SESSION_TAIL_LOST);
-    assertThat(refusal(fine + ", " + lost, POOL, after)).isEqualTo(ErrorCode.SESSION_TAIL_LOST);
+    View viewAfterFailover =
+        view(List.of(OLD_KEY), group(2, new TermStart(1, 0), new TermStart(2, 40)));
+    String lostToken = tokens.write(session(new Position(1, 100)), viewAfterFailover);
+    String validToken = tokens.write(session(new Position(2, 150)), viewAfterFailover);
+    assertThat(rejection(lostToken + "," + validToken, POOL, viewAfterFailover))
+        .isEqualTo(ErrorCode.SESSION_TAIL_LOST);
+    assertThat(rejection(validToken + ", " + lostToken, POOL, viewAfterFailover))
+        .isEqualTo(ErrorCode.SESSION_TAIL_LOST);
   }
 
   /**
-   * A packer's request moves to a proxy whose view is one failover behind. The proxy cannot tell
-   * what term 2 lost, and its primary may be the replaced one: it refuses, and the retry works.
+   * The view of the proxy is one failover behind the session. The proxy cannot determine what term
+   * 2 lost, and its known primary may be replaced, so the request fails with a retryable error.
    */
   @Test
-  void sessionAheadOfTheViewIsRefusedForNow() {
-    View behind = view(List.of(OLD_KEY), group(1, new TermStart(1, 0)));
-    String token = tokens.write(session(new Position(2, 41)), behind);
+  void sessionAheadOfViewIsRejectedAsRetryable() {
+    View staleView = view(List.of(OLD_KEY), group(1, new TermStart(1, 0)));
+    String token = tokens.write(session(new Position(2, 41)), staleView);
     AlderyardException error =
-        assertThrows(AlderyardException.class, () -> tokens.read(token, POOL, behind));
+        assertThrows(AlderyardException.class, () -> tokens.read(token, POOL, staleView));
     assertThat(error.code()).isEqualTo(ErrorCode.NO_PRIMARY);
     assertThat(error.retryAfterMillis().isPresent()).isTrue();
   }
 
   @Test
-  void oldestGroupsFoldAndThenDemandThePrimary() {
+  void oldestGroupsAreFoldedAndRequireThePrimary() {
     SessionState session = SessionState.empty(POOL);
     List<GroupState> groups = new ArrayList<>();
     for (int i = 0; i <= SessionState.MAX_GROUPS; i++) {
