--- a/alderyard-control/src/main/java/org/alderyard/control/raft/Effects.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/raft/Effects.java
@@ -7,16 +7,16 @@
 import org.alderyard.protocol.generated.raft.RaftMessage;
 
 /**
- * What the steps since the last call ask for, in this order.
+ * The effects of the steps since the last call, to be performed in the order of the components.
  *
- * @param early messages that need not wait for the disk: what a leader sends
+ * @param early messages to send without waiting for the sync; only leaders send them
  * @param hardState the term and vote to sync, if they changed
- * @param snapshot the snapshot to store and to restore the state from; the log before it is void
- * @param entries the entries to sync; entries from the first index on that are stored are void
+ * @param snapshot the snapshot to store and to restore the state from; it replaces the whole log
+ * @param entries the entries to sync; they replace all stored entries from the first index on
  * @param afterSync messages to send once all of the above is synced
  * @param committed the entries to apply, in order
- * @param reads reads that were confirmed by a quorum
- * @param failedReads reads that can't be confirmed since this replica doesn't lead any more
+ * @param reads reads that a quorum has confirmed
+ * @param failedReads the ids of reads that cannot be confirmed since this replica no longer leads
  */
 public record Effects(
     List<RaftMessage> early,
@@ -29,14 +29,14 @@
     List<Long> failedReads) {
 
   /**
-   * A read that may run once the given index is applied.
+   * A confirmed read, which may run once an index is applied.
    *
-   * @param readId the number that the caller gave the read
-   * @param index the index that has to be applied first
+   * @param readId the id that the caller gave the read
+   * @param index the index that must be applied first
    */
   public record ConfirmedRead(long readId, long index) {}
 
-  /** Returns whether something has to be synced. */
+  /** Returns whether the hard state, a snapshot or entries must be synced. */
   public boolean needsSync() {
     return hardState.isPresent() || snapshot.isPresent() || !entries.isEmpty();
   }
--- a/alderyard-control/src/main/java/org/alderyard/control/raft/Election.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/raft/Election.java
@@ -6,31 +6,36 @@
 import org.alderyard.protocol.generated.raft.VoteReply;
 import org.alderyard.protocol.generated.raft.VoteRequest;
 
-/** Asks for votes and gives them. */
+/** Requests votes for this replica and replies to vote requests of other candidates. */
 final class Election {
   private final ReplicaState state;
-  private final Set<Long> granted = new HashSet<>();
+  private final Set<Long> grantedBy = new HashSet<>();
   private int preVoteRounds;
 
   Election(ReplicaState state) {
     this.state = state;
   }
 
-  /** Asks whether an election could be won; the term stays, so a lone replica disturbs nobody. */
+  /**
+   * Starts a pre-vote round, which checks whether an election could be won. The term stays, so an
+   * isolated replica does not disrupt the others.
+   */
   void startPreVote() {
     preVoteRounds++;
-    granted.clear();
-    granted.add(state.self);
-    state.awaitNextPreVote();
+    grantedBy.clear();
+    grantedBy.add(state.self);
+    state.scheduleNextPreVote();
     requestVotes(true, state.term() + 1, false);
   }
 
-  /** Stands for election in a new term. The own vote counts once it is synced. */
-  void startVote(boolean handOver) {
+  /**
+   * Starts an election in a new term. The vote of this replica for itself counts once it is synced.
+   */
+  void startElection(boolean handOver) {
     preVoteRounds = 0;
-    granted.clear();
-    state.promise(state.term() + 1, state.self);
-    state.forgetLeader();
+    grantedBy.clear();
+    state.updateHardState(state.term() + 1, state.self);
+    state.clearLeader();
     state.restartElectionTimer();
     requestVotes(false, state.term(), handOver);
   }
@@ -51,49 +56,53 @@
     }
   }
 
-  /** Counts a vote; only those of voters make up a majority. */
-  void grant(long voter) {
-    granted.add(voter);
+  /** Records a vote. Only the votes of voters count towards a majority. */
+  void recordVote(long voter) {
+    grantedBy.add(voter);
   }
 
-  boolean won() {
-    return state.log.membership().isQuorum(granted::contains);
+  boolean hasWon() {
+    return state.log.membership().isQuorum(grantedBy::contains);
   }
 
   /**
-   * Returns whether a request must not even move the term.
+   * Returns whether a vote request must be ignored, without adopting its term.
    *
-   * <p>Guards against replicas that don't hear the leader (cut off one way, removed, or back after
-   * a long silence): their campaign would end a term in which a majority is well served. As long as
-   * a leader is fresh here, its term stays, unless the leader itself asked for the election.
+   * <p>Some replicas campaign because they do not receive the leader's messages: they are
+   * partitioned one way, removed, or back after a long absence. Such a campaign would end a term in
+   * which a majority is served. The term therefore stays while this replica leads or has recent
+   * contact with a leader, unless the leader itself handed over.
    */
-  boolean disturbs(VoteRequest request, Role role) {
+  boolean shouldIgnore(VoteRequest request, Role role) {
     if (request.getHandOver()) {
       return false;
     }
-    return role == Role.LEADER || state.leaderIsFresh();
+    return role == Role.LEADER || state.hasRecentLeader();
   }
 
-  /** Forgets earlier rounds, since a leader was heard or another replica stands. */
-  void rest() {
+  /** Resets the pre-vote round count, since a leader made contact or the term changed. */
+  void resetPreVoteRounds() {
     preVoteRounds = 0;
   }
 
-  /** Answers a request whose term was taken over already, if it is a real one. */
-  void answer(RaftMessage message) {
+  /**
+   * Replies to a vote request. Unless the request is a pre-vote, a higher term in it must have been
+   * adopted before.
+   */
+  void onVoteRequest(RaftMessage message) {
     VoteRequest request = message.getVoteRequest();
-    boolean grant = mayGrant(message.getFrom(), request);
-    if (grant) {
-      // Whoever lets another one stand waits before it stands itself.
+    boolean granted = mayGrant(message.getFrom(), request);
+    if (granted) {
+      // Gives the candidate time to win before this replica campaigns.
       state.restartElectionTimer();
     }
-    if (grant && !request.getPreVote()) {
-      state.promise(state.term(), message.getFrom());
+    if (granted && !request.getPreVote()) {
+      state.updateHardState(state.term(), message.getFrom());
     }
-    // A pre-vote may come from a higher term, which is not taken over here: the reply carries it,
-    // since the asker ignores what comes from a lower term than its own.
+    // A pre-vote may carry a higher term, which is not adopted here. The reply carries that term,
+    // since the candidate ignores messages with a term lower than its own.
     long replyTerm =
-        grant && request.getPreVote() ? Math.max(state.term(), message.getTerm()) : state.term();
+        granted && request.getPreVote() ? Math.max(state.term(), message.getTerm()) : state.term();
     state.sendAfterSync(
         state
             .message(message.getFrom())
@@ -102,23 +111,23 @@
                 VoteReply.newBuilder()
                     .setCandidateTerm(request.getCandidateTerm())
                     .setPreVote(request.getPreVote())
-                    .setGranted(grant)));
+                    .setGranted(granted)));
   }
 
   /**
-   * Returns whether this replica asks for the same and goes first.
+   * Returns whether this replica runs for election too and has priority over the candidate.
    *
-   * <p>Guards against a split vote: with one host lost, the two that are left often notice it at
-   * once, let each other stand, vote for themselves, and the gap grows by a timeout each time. Of
-   * two with equal logs the higher id goes first, but only in its first round, or while it starts:
-   * if it can't win, it holds up nobody for long.
+   * <p>Without this priority votes can split: when one of three hosts is lost, the other two often
+   * detect it at the same time, grant each other's pre-vote and vote for themselves, and each such
+   * round costs another timeout. Between equal logs the higher replica id has priority, but only in
+   * its first pre-vote round or while it starts. If it cannot win, the delay is short.
    */
-  private boolean competes(long candidate, VoteRequest request) {
+  private boolean hasPriorityOver(long candidate, VoteRequest request) {
     boolean equalLogs =
         request.getLastIndex() == state.log.lastIndex()
             && request.getLastTerm() == state.log.lastTerm();
-    boolean early = preVoteRounds == 1 || preVoteRounds > 0 && state.isStarting();
-    return early && equalLogs && state.self > candidate;
+    boolean priorityApplies = preVoteRounds == 1 || preVoteRounds > 0 && state.isStarting();
+    return priorityApplies && equalLogs && state.self > candidate;
   }
 
   private boolean mayGrant(long candidate, VoteRequest request) {
@@ -126,12 +135,13 @@
       return false;
     }
     if (request.getPreVote()) {
-      return request.getCandidateTerm() > state.term() && !competes(candidate, request);
+      return request.getCandidateTerm() > state.term() && !hasPriorityOver(candidate, request);
     }
     if (request.getCandidateTerm() != state.term()) {
       return false;
     }
     return state.votedFor() == candidate
-        || (state.votedFor() == ReplicaState.NOBODY && state.leaderId() == ReplicaState.NOBODY);
+        || (state.votedFor() == ReplicaState.NO_REPLICA
+            && state.leaderId() == ReplicaState.NO_REPLICA);
   }
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/raft/Follower.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/raft/Follower.java
@@ -7,12 +7,15 @@
 import org.alderyard.protocol.generated.raft.SnapshotChunk;
 import org.alderyard.protocol.generated.raft.SnapshotReply;
 
-/** Takes over what the leader of the term sends, and tells it how far the logs agree. */
+/**
+ * Stores the entries and snapshots that the leader of the term sends, and replies with the index up
+ * to which the logs match.
+ */
 final class Follower {
   private final ReplicaState state;
   private final SnapshotReceiver receiver = new SnapshotReceiver();
-  // Not null between the last chunk and the call that hands the snapshot out.
-  private Snapshot received;
+  // Non-null from the last chunk until takeReceivedSnapshot() returns the snapshot.
+  private Snapshot receivedSnapshot;
 
   Follower(ReplicaState state) {
     this.state = state;
@@ -20,27 +23,27 @@
 
   void onAppend(RaftMessage message) {
     AppendRequest request = message.getAppendRequest();
-    if (request.getPrevIndex() < state.log.commitIndex() && !isKnown(request)) {
-      // Everything committed is equal on all replicas, so the answer needs no comparison.
-      reply(message, success(state.log.commitIndex(), request.getRound()));
+    if (request.getPrevIndex() < state.log.commitIndex() && !matchesPrevious(request)) {
+      // Committed entries are identical on all replicas, so the reply needs no comparison.
+      reply(message, successReply(state.log.commitIndex(), request.getRound()));
       return;
     }
     if (!state.log.matches(request.getPrevIndex(), request.getPrevTerm())) {
-      reply(message, rejection(request));
+      reply(message, rejectionReply(request));
       return;
     }
     state.log.merge(request.getEntriesList());
-    long lastNew = request.getPrevIndex() + request.getEntriesCount();
-    state.log.commitTo(Math.min(request.getCommitIndex(), lastNew));
-    reply(message, success(lastNew, request.getRound()));
+    long lastReceivedIndex = request.getPrevIndex() + request.getEntriesCount();
+    state.log.commitTo(Math.min(request.getCommitIndex(), lastReceivedIndex));
+    reply(message, successReply(lastReceivedIndex, request.getRound()));
   }
 
-  private boolean isKnown(AppendRequest request) {
+  private boolean matchesPrevious(AppendRequest request) {
     return state.log.matches(request.getPrevIndex(), request.getPrevTerm());
   }
 
-  /** Answers the leader of an earlier term, which learns the newer one from it. */
-  void refuseStale(RaftMessage message) {
+  /** Rejects a message of an earlier term; the reply carries the current term. */
+  void rejectStale(RaftMessage message) {
     if (message.hasAppendRequest()) {
       AppendRequest request = message.getAppendRequest();
       reply(message, AppendReply.newBuilder().setRound(request.getRound()));
@@ -50,20 +53,24 @@
         state.message(message.getFrom()).setSnapshotReply(SnapshotReply.getDefaultInstance()));
   }
 
-  private static AppendReply.Builder success(long matchIndex, long round) {
+  private static AppendReply.Builder successReply(long matchIndex, long round) {
     return AppendReply.newBuilder().setSuccess(true).setMatchIndex(matchIndex).setRound(round);
   }
 
-  /** Names the last place where the logs may agree, so the leader skips whole terms at once. */
-  private AppendReply.Builder rejection(AppendRequest request) {
-    long hint = Math.min(request.getPrevIndex() - 1, state.log.lastIndex());
-    while (hint > state.log.commitIndex() && state.log.termAt(hint) > request.getPrevTerm()) {
-      hint--;
+  /**
+   * Builds a rejection with the last index at which the logs may match, so that the leader can skip
+   * whole terms instead of single entries.
+   */
+  private AppendReply.Builder rejectionReply(AppendRequest request) {
+    long hintIndex = Math.min(request.getPrevIndex() - 1, state.log.lastIndex());
+    while (hintIndex > state.log.commitIndex()
+        && state.log.termAt(hintIndex) > request.getPrevTerm()) {
+      hintIndex--;
     }
     return AppendReply.newBuilder()
         .setRejectedIndex(request.getPrevIndex())
-        .setHintIndex(hint)
-        .setHintTerm(state.log.covers(hint) ? state.log.termAt(hint) : 0)
+        .setHintIndex(hintIndex)
+        .setHintTerm(state.log.hasTermAt(hintIndex) ? state.log.termAt(hintIndex) : 0)
         .setRound(request.getRound());
   }
 
@@ -74,7 +81,7 @@
   void onSnapshotChunk(RaftMessage message) {
     SnapshotChunk chunk = message.getSnapshotChunk();
     if (state.log.matches(chunk.getLastIndex(), chunk.getLastTerm())) {
-      // The entries are here already; they must stay, since the leader may count on them.
+      // The log holds the entries and must keep them, since the leader may have counted them.
       state.log.commitTo(chunk.getLastIndex());
     }
     if (chunk.getLastIndex() <= state.log.commitIndex()) {
@@ -82,12 +89,12 @@
       replySnapshot(message, chunk, true);
       return;
     }
-    Optional<Snapshot> whole = receiver.receive(chunk);
-    if (whole.isPresent()) {
-      received = whole.get();
-      state.log.restore(received);
+    Optional<Snapshot> assembled = receiver.receive(chunk);
+    if (assembled.isPresent()) {
+      receivedSnapshot = assembled.get();
+      state.log.restore(receivedSnapshot);
     }
-    replySnapshot(message, chunk, whole.isPresent());
+    replySnapshot(message, chunk, assembled.isPresent());
   }
 
   private void replySnapshot(RaftMessage message, SnapshotChunk chunk, boolean done) {
@@ -102,9 +109,9 @@
                     .setRound(chunk.getRound())));
   }
 
-  Optional<Snapshot> takeReceived() {
-    Optional<Snapshot> result = Optional.ofNullable(received);
-    received = null;
+  Optional<Snapshot> takeReceivedSnapshot() {
+    Optional<Snapshot> result = Optional.ofNullable(receivedSnapshot);
+    receivedSnapshot = null;
     return result;
   }
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/raft/Leadership.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/raft/Leadership.java
@@ -12,26 +12,32 @@
 import org.alderyard.protocol.generated.raft.SnapshotReply;
 import org.alderyard.protocol.generated.raft.TimeoutNow;
 
-/** What a leader does in its term: orders entries, counts replies, and watches its majority. */
+/**
+ * Leader state of a replica for one term: appends entries, advances the commit index and checks for
+ * contact with a majority.
+ */
 final class Leadership {
   private final ReplicaState state;
   private final Replication replication;
   private final Map<Long, Progress> peers = new HashMap<>();
   private final ReadQueue reads = new ReadQueue();
-  private final long firstIndex;
+  private final long firstIndexOfTerm;
   private long round;
-  private long nextBeatMillis;
-  private boolean commitIsNews;
-  private long handOverTarget = ReplicaState.NOBODY;
+  private long nextHeartbeatMillis;
+  private boolean commitAdvanced;
+  private long handOverTarget = ReplicaState.NO_REPLICA;
   private long handOverDeadlineMillis;
 
-  /** Begins the term with an entry of its own: only such an entry may be committed by counting. */
+  /**
+   * Starts the term by appending a no-op entry, since the commit index may advance by counting
+   * replicas only for entries of the current term.
+   */
   Leadership(ReplicaState state) {
     this.state = state;
     replication = new Replication(state);
-    followMembership();
-    firstIndex = append(EntryKind.NO_OP, ByteString.EMPTY);
-    beat();
+    updatePeers();
+    firstIndexOfTerm = append(EntryKind.NO_OP, ByteString.EMPTY);
+    startHeartbeatRound();
   }
 
   long append(EntryKind kind, ByteString data) {
@@ -44,12 +50,12 @@
             .setData(data)
             .build());
     if (kind == EntryKind.MEMBERSHIP) {
-      followMembership();
+      updatePeers();
     }
     return index;
   }
 
-  private void followMembership() {
+  private void updatePeers() {
     Membership membership = state.log.membership();
     peers.keySet().removeIf(replicaId -> membership.member(replicaId).isEmpty());
     for (long replicaId : membership.replicaIds()) {
@@ -61,50 +67,55 @@
   }
 
   void tick() {
-    if (handOverTarget != ReplicaState.NOBODY && state.nowMillis() >= handOverDeadlineMillis) {
-      handOverTarget = ReplicaState.NOBODY;
+    if (handOverTarget != ReplicaState.NO_REPLICA && state.nowMillis() >= handOverDeadlineMillis) {
+      handOverTarget = ReplicaState.NO_REPLICA;
     }
-    if (state.nowMillis() >= nextBeatMillis) {
-      beat();
+    if (state.nowMillis() >= nextHeartbeatMillis) {
+      startHeartbeatRound();
     }
   }
 
-  /** Starts a round: every replica is spoken to, and every reply counts for the waiting reads. */
-  private void beat() {
+  /**
+   * Starts a heartbeat round by sending a message to every replica. The replies confirm the reads
+   * assigned to this round.
+   */
+  private void startHeartbeatRound() {
     round++;
-    reads.beginRound(round, Math.max(state.log.commitIndex(), firstIndex));
-    nextBeatMillis = state.nowMillis() + state.options.heartbeatMillis();
-    peers.forEach((peer, progress) -> replication.beat(peer, progress, round));
-    commitIsNews = false;
+    reads.assignRound(round, Math.max(state.log.commitIndex(), firstIndexOfTerm));
+    nextHeartbeatMillis = state.nowMillis() + state.options.heartbeatMillis();
+    peers.forEach((peer, progress) -> replication.sendHeartbeat(peer, progress, round));
+    commitAdvanced = false;
   }
 
-  /** Sends what came up since the last call: reads, a higher commit index, new entries. */
+  /** Sends what has changed since the last call: new reads, a higher commit index, new entries. */
   void flush() {
-    if (reads.hasArrived()) {
-      beat();
+    if (reads.hasNewReads()) {
+      startHeartbeatRound();
       return;
     }
-    boolean speak = commitIsNews;
-    commitIsNews = false;
-    peers.forEach((peer, progress) -> replication.feed(peer, progress, round, speak));
+    boolean sendCommitIndex = commitAdvanced;
+    commitAdvanced = false;
+    peers.forEach(
+        (peer, progress) -> replication.sendEntries(peer, progress, round, sendCommitIndex));
   }
 
   /**
-   * Returns whether a majority was heard lately.
+   * Returns whether a majority replied within the maximum election timeout. A leader without such
+   * contact steps down.
    *
-   * <p>Guards against a leader that is cut off and would go on refusing or delaying its callers
-   * while a new one serves the others: it steps down within an election timeout.
+   * <p>Otherwise a partitioned leader would keep refusing or delaying its callers while a new
+   * leader serves the others.
    */
-  boolean hearsQuorum() {
-    return state.log.membership().isQuorum(this::isHeard);
+  boolean hasQuorumContact() {
+    return state.log.membership().isQuorum(this::hasRecentContact);
   }
 
-  private boolean isHeard(long replicaId) {
+  private boolean hasRecentContact(long replicaId) {
     if (replicaId == state.self) {
       return true;
     }
-    long silentMillis = state.nowMillis() - peers.get(replicaId).heardMillis();
-    return silentMillis < state.options.electionTimeoutMaxMillis();
+    long unresponsiveMillis = state.nowMillis() - peers.get(replicaId).lastContactMillis();
+    return unresponsiveMillis < state.options.electionTimeoutMaxMillis();
   }
 
   void onAppendReply(RaftMessage message) {
@@ -113,13 +124,13 @@
       return;
     }
     AppendReply reply = message.getAppendReply();
-    progress.heard(state.nowMillis(), reply.getRound());
+    progress.recordReply(state.nowMillis(), reply.getRound());
     if (reply.getSuccess()) {
-      progress.matched(reply.getMatchIndex());
+      progress.recordMatch(reply.getMatchIndex());
       advanceCommit();
-      continueHandOver();
+      sendTimeoutNowIfCaughtUp();
     } else {
-      progress.rejected(reply.getRejectedIndex(), replication.agreement(reply));
+      progress.recordRejection(reply.getRejectedIndex(), replication.lastPossibleMatch(reply));
     }
   }
 
@@ -129,22 +140,23 @@
       return;
     }
     SnapshotReply reply = message.getSnapshotReply();
-    progress.heard(state.nowMillis(), reply.getRound());
+    progress.recordReply(state.nowMillis(), reply.getRound());
     replication.onSnapshotReply(message.getFrom(), progress, reply, round);
     advanceCommit();
   }
 
   /**
-   * Commits what a majority has synced, if it is of the leader's own term.
+   * Advances the commit index to the last entry that a majority has synced, if that entry is of the
+   * current term.
    *
-   * <p>Guards against counting replicas for an entry of an earlier term: another leader could still
-   * replace it. It is committed with the first entry of this term after it.
+   * <p>An entry of an earlier term is not committed by counting replicas, since another leader
+   * could still replace it. It is committed along with a later entry of the current term.
    */
   void advanceCommit() {
     long index = state.log.membership().quorumValue(this::syncedIndex);
     if (index > state.log.commitIndex() && state.log.termAt(index) == state.term()) {
       state.log.commitTo(index);
-      commitIsNews = true;
+      commitAdvanced = true;
     }
   }
 
@@ -156,53 +168,68 @@
     reads.add(readId);
   }
 
-  List<ConfirmedRead> confirmedReads() {
-    return reads.confirm(
-        state.log.membership().quorumValue(id -> id == state.self ? round : peers.get(id).round()));
+  List<ConfirmedRead> takeConfirmedReads() {
+    return reads.takeConfirmed(
+        state
+            .log
+            .membership()
+            .quorumValue(id -> id == state.self ? round : peers.get(id).repliedRound()));
   }
 
-  List<Long> abandonReads() {
-    return reads.drain();
+  List<Long> takeUnconfirmedReads() {
+    return reads.takeAll();
   }
 
-  /** Returns whether an entry of this term is committed, so that the commit index is exact. */
-  boolean isEstablished() {
-    return state.log.commitIndex() >= firstIndex;
+  /**
+   * Returns whether an entry of the current term is committed, which makes the commit index exact.
+   */
+  boolean hasCommittedInTerm() {
+    return state.log.commitIndex() >= firstIndexOfTerm;
   }
 
-  /** Returns for how long a replica was not heard. */
-  long silentMillis(long replicaId) {
+  /**
+   * Returns the time in milliseconds since the last contact with a replica; 0 for an unknown
+   * replica.
+   */
+  long unresponsiveMillis(long replicaId) {
     Progress progress = peers.get(replicaId);
-    return progress == null ? 0 : state.nowMillis() - progress.heardMillis();
+    return progress == null ? 0 : state.nowMillis() - progress.lastContactMillis();
   }
 
   boolean hasCaughtUp(long replicaId) {
     Progress progress = peers.get(replicaId);
     return progress != null
-        && isHeard(replicaId)
+        && hasRecentContact(replicaId)
         && state.log.lastIndex() - progress.matchIndex() <= state.options.maxCatchUpGap();
   }
 
-  /** Returns up to where a replica is known to hold the log. */
+  /**
+   * Returns the highest index up to which a replica is known to match the log; 0 for an unknown
+   * replica.
+   */
   long matchIndex(long replicaId) {
     return peers.containsKey(replicaId) ? peers.get(replicaId).matchIndex() : 0;
   }
 
   boolean isHandingOver() {
-    return handOverTarget != ReplicaState.NOBODY;
+    return handOverTarget != ReplicaState.NO_REPLICA;
   }
 
-  /** Stops taking proposals until the target holds the whole log, then lets it stand. */
+  /**
+   * Stops accepting proposals and, once the target holds the whole log, requests it to start an
+   * election immediately.
+   */
   void handOver(long target) {
     handOverTarget = target;
     handOverDeadlineMillis = state.nowMillis() + state.options.electionTimeoutMaxMillis();
-    continueHandOver();
+    sendTimeoutNowIfCaughtUp();
   }
 
-  private void continueHandOver() {
+  private void sendTimeoutNowIfCaughtUp() {
     Progress progress = peers.get(handOverTarget);
     if (progress != null && progress.matchIndex() == state.log.lastIndex()) {
-      state.sendEarly(state.message(handOverTarget).setTimeoutNow(TimeoutNow.getDefaultInstance()));
+      state.sendBeforeSync(
+          state.message(handOverTarget).setTimeoutNow(TimeoutNow.getDefaultInstance()));
     }
   }
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/raft/Membership.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/raft/Membership.java
@@ -12,20 +12,20 @@
 import org.alderyard.protocol.generated.raft.Member;
 import org.alderyard.protocol.generated.raft.MemberList;
 
-/** The replicas of the log: voters, which make up quorums, and learners, which only copy it. */
+/** The replicas of the log: voters, which form quorums, and learners, which only replicate it. */
 public final class Membership {
-  /** No replicas: a new disk that no cluster has taken in yet. */
+  /** No members, as on a new disk that has not joined a cluster yet. */
   public static final Membership EMPTY = new Membership(MemberList.getDefaultInstance());
 
   private final Map<Long, Member> members = new TreeMap<>();
   private final List<Long> voters = new ArrayList<>();
 
-  /** Reads a list of members. */
+  /** Creates a membership from its serialized form. */
   public Membership(MemberList list) {
     this(list.getMembersList());
   }
 
-  /** Reads members. */
+  /** Creates a membership. Of several members with the same replica id the last one counts. */
   public Membership(Collection<Member> list) {
     for (Member member : list) {
       members.put(member.getReplicaId(), member);
@@ -37,39 +37,42 @@
     }
   }
 
-  /** Returns the members in the order of their ids. */
+  /** Returns all members in ascending order of replica id. */
   public Collection<Member> members() {
     return members.values();
   }
 
-  /** Returns the ids of all replicas. */
+  /** Returns the replica ids of all members, voters and learners, in ascending order. */
   public Set<Long> replicaIds() {
     return members.keySet();
   }
 
-  /** Returns the ids of the voters. */
+  /** Returns the replica ids of the voters, in ascending order. */
   public List<Long> voters() {
     return voters;
   }
 
-  /** Returns a member by its id. */
+  /** Returns the member with a replica id, or empty if there is none. */
   public Optional<Member> member(long replicaId) {
     return Optional.ofNullable(members.get(replicaId));
   }
 
-  /** Returns the members that run on a host; while it is replaced these may be two. */
+  /**
+   * Returns the members on a host. There may be two while the replica on the host is being
+   * replaced.
+   */
   public List<Member> membersOf(String hostId) {
     return members.values().stream().filter(member -> member.getHostId().equals(hostId)).toList();
   }
 
-  /** Returns whether this replica may vote. */
+  /** Returns whether a replica is a voter; false for an unknown replica. */
   public boolean isVoter(long replicaId) {
     return members.containsKey(replicaId) && members.get(replicaId).getVoter();
   }
 
-  /** Returns whether the voters that satisfy the test are a majority. */
-  public boolean isQuorum(LongPredicate test) {
-    long count = voters.stream().filter(test::test).count();
+  /** Returns whether a majority of the voters satisfies the predicate. */
+  public boolean isQuorum(LongPredicate predicate) {
+    long count = voters.stream().filter(predicate::test).count();
     return count > voters.size() / 2;
   }
 
@@ -82,21 +85,21 @@
     return values[(values.length - 1) / 2];
   }
 
-  /** Returns a copy with this member added or changed. */
+  /** Returns a copy with a member added, or replaced if its replica id is present. */
   public Membership with(Member member) {
-    Map<Long, Member> next = new TreeMap<>(members);
-    next.put(member.getReplicaId(), member);
-    return new Membership(next.values());
+    Map<Long, Member> copy = new TreeMap<>(members);
+    copy.put(member.getReplicaId(), member);
+    return new Membership(copy.values());
   }
 
-  /** Returns a copy without this replica. */
+  /** Returns a copy without the member with a replica id. */
   public Membership without(long replicaId) {
-    Map<Long, Member> next = new TreeMap<>(members);
-    next.remove(replicaId);
-    return new Membership(next.values());
+    Map<Long, Member> copy = new TreeMap<>(members);
+    copy.remove(replicaId);
+    return new Membership(copy.values());
   }
 
-  /** Returns the list for the log. */
+  /** Returns the serialized form, as stored in the log. */
   public MemberList toList() {
     return MemberList.newBuilder().addAllMembers(members.values()).build();
   }
@@ -114,12 +117,12 @@
   @Override
   public String toString() {
     return members.values().stream()
-        .map(member -> member.getHostId() + "=" + member.getReplicaId() + role(member))
+        .map(member -> member.getHostId() + "=" + member.getReplicaId() + learnerSuffix(member))
         .toList()
         .toString();
   }
 
-  private static String role(Member member) {
+  private static String learnerSuffix(Member member) {
     return member.getVoter() ? "" : "(learner)";
   }
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/raft/MembershipChange.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/raft/MembershipChange.java
@@ -2,45 +2,45 @@
 
 import org.alderyard.protocol.generated.raft.Member;
 
-/** One step from a membership to the next; it changes at most one voter. */
+/** A single membership change, which adds or removes at most one voter. */
 public sealed interface MembershipChange {
 
   /**
-   * Adds a replica that copies the log and does not vote.
+   * Adds a learner, a replica that copies the log but does not vote.
    *
-   * @param member the replica
+   * @param member the replica to add
    */
   record AddLearner(Member member) implements MembershipChange {}
 
   /**
-   * Makes a learner that has caught up a voter.
+   * Promotes a learner that has caught up to a voter.
    *
-   * @param replicaId the learner
+   * @param replicaId the replica id of the learner
    */
   record Promote(long replicaId) implements MembershipChange {}
 
   /**
    * Removes a voter or a learner.
    *
-   * @param replicaId the replica
+   * @param replicaId the replica id of the member
    */
   record Remove(long replicaId) implements MembershipChange {}
 
-  /** Why a change was taken or refused. */
+  /** Result of a requested membership change. */
   enum Verdict {
-    /** The change is in the log; it counts once it is committed. */
+    /** The change was appended to the log. It is final once it is committed. */
     ACCEPTED,
-    /** This replica doesn't lead. */
+    /** This replica is not the leader, or it is handing over the leadership. */
     NOT_LEADER,
-    /** An earlier change, or the first entry of the leader's term, is not committed yet. */
+    /** An earlier change or the first entry of the term of the leader is not committed yet. */
     CHANGE_IN_PROGRESS,
-    /** The learner lacks too much of the log, or was not heard lately. */
+    /** The learner lacks too many entries or has not replied recently. */
     LEARNER_BEHIND,
-    /** The replica is a member already. */
+    /** The replica is a member, or a voter if it was to be promoted, already. */
     ALREADY_MEMBER,
-    /** No such replica, or not in the role that the change needs. */
+    /** The replica is not a member. */
     UNKNOWN_REPLICA,
-    /** Without this voter there would be none. */
+    /** The replica is the last voter, which cannot be removed. */
     LAST_VOTER
   }
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/raft/Progress.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/raft/Progress.java
@@ -4,22 +4,23 @@
 import java.util.Deque;
 import java.util.Optional;
 
-/** What a leader knows of one other replica, and what it sends there next. */
+/** Replication progress of one other replica, as tracked by the leader. */
 final class Progress {
   private final Deque<Long> inflight = new ArrayDeque<>();
   private long matchIndex;
   private long nextIndex;
   private boolean probing = true;
   private boolean probeSent;
-  private long heardMillis;
-  private long round;
-  // Not null while a snapshot is sent; kept here so that a newer one doesn't break the transfer.
-  private Snapshot sending;
-  private long sentBytes;
+  private long lastContactMillis;
+  private long repliedRound;
+  // Non-null during a snapshot transfer. Kept so that a newer snapshot does not interrupt the
+  // transfer.
+  private Snapshot pendingSnapshot;
+  private long snapshotOffsetBytes;
 
   Progress(long nextIndex, long nowMillis) {
     this.nextIndex = nextIndex;
-    this.heardMillis = nowMillis;
+    this.lastContactMillis = nowMillis;
   }
 
   long matchIndex() {
@@ -30,22 +31,25 @@
     return nextIndex;
   }
 
-  long heardMillis() {
-    return heardMillis;
+  long lastContactMillis() {
+    return lastContactMillis;
   }
 
-  long round() {
-    return round;
+  long repliedRound() {
+    return repliedRound;
   }
 
-  void heard(long nowMillis, long repliedRound) {
-    heardMillis = nowMillis;
-    round = Math.max(round, repliedRound);
+  void recordReply(long nowMillis, long replyRound) {
+    lastContactMillis = nowMillis;
+    repliedRound = Math.max(repliedRound, replyRound);
   }
 
-  /** Returns whether entries may be sent now: one message while probing, then a window. */
-  boolean maySend(int maxInflight) {
-    if (sending != null) {
+  /**
+   * Returns whether entries may be sent now: one message at a time while probing, otherwise up to
+   * {@code maxInflight} messages without a reply.
+   */
+  boolean canSendEntries(int maxInflight) {
+    if (pendingSnapshot != null) {
       return false;
     }
     return probing ? !probeSent : inflight.size() < maxInflight;
@@ -55,8 +59,11 @@
     return probing;
   }
 
-  /** Notes a message with entries up to the index; the next goes out before its reply. */
-  void sent(long lastIndex) {
+  /**
+   * Records that entries up to an index were sent. Unless probing, the next entries follow without
+   * waiting for the reply.
+   */
+  void recordSent(long lastIndex) {
     if (probing) {
       probeSent = true;
       return;
@@ -67,57 +74,61 @@
     }
   }
 
-  /** Lets a lost probe be sent again; called at the pace of the heartbeat. */
-  void allowProbe() {
+  /** Allows another probe in case the last one was lost. Called once per heartbeat. */
+  void allowProbeRetry() {
     probeSent = false;
   }
 
-  void matched(long index) {
+  void recordMatch(long index) {
     matchIndex = Math.max(matchIndex, index);
     nextIndex = Math.max(nextIndex, matchIndex + 1);
-    if (sending != null && matchIndex >= sending.lastIndex()) {
-      sending = null;
+    if (pendingSnapshot != null && matchIndex >= pendingSnapshot.lastIndex()) {
+      pendingSnapshot = null;
       probing = true;
     }
     while (!inflight.isEmpty() && inflight.peekFirst() <= matchIndex) {
       inflight.removeFirst();
     }
-    if (probing && sending == null) {
+    if (probing && pendingSnapshot == null) {
       probing = false;
       probeSent = false;
       nextIndex = matchIndex + 1;
     }
   }
 
-  /** Goes back to probing; an answer that is older than what matched since is ignored. */
-  void rejected(long rejectedIndex, long agreeIndex) {
+  /**
+   * Returns to probing after a rejected append. A rejection older than the latest match is ignored.
+   */
+  void recordRejection(long rejectedIndex, long lastPossibleMatch) {
     boolean stale = probing ? rejectedIndex != nextIndex - 1 : rejectedIndex <= matchIndex;
-    if (stale || sending != null) {
+    if (stale || pendingSnapshot != null) {
       return;
     }
     inflight.clear();
     probing = true;
     probeSent = false;
-    nextIndex = Math.max(matchIndex + 1, Math.min(rejectedIndex, agreeIndex + 1));
+    nextIndex = Math.max(matchIndex + 1, Math.min(rejectedIndex, lastPossibleMatch + 1));
   }
 
   void startSnapshot(Snapshot snapshot) {
     inflight.clear();
     probing = true;
-    sending = snapshot;
-    sentBytes = 0;
+    pendingSnapshot = snapshot;
+    snapshotOffsetBytes = 0;
   }
 
-  Optional<Snapshot> sending() {
-    return Optional.ofNullable(sending);
+  Optional<Snapshot> pendingSnapshot() {
+    return Optional.ofNullable(pendingSnapshot);
   }
 
-  long sentBytes() {
-    return sentBytes;
+  long snapshotOffsetBytes() {
+    return snapshotOffsetBytes;
   }
 
-  /** Takes the receiver's word for what it holds of the snapshot. */
-  void expectsOffset(long offsetBytes) {
-    sentBytes = offsetBytes;
+  /**
+   * Sets the offset of the next chunk to the number of snapshot bytes that the receiver reports.
+   */
+  void setSnapshotOffset(long offsetBytes) {
+    snapshotOffsetBytes = offsetBytes;
   }
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/raft/RaftCore.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/raft/RaftCore.java
@@ -15,10 +15,11 @@
 import org.alderyard.protocol.generated.raft.VoteReply;
 
 /**
- * One replica of the log as a pure state machine.
+ * One replica of a Raft log as a state machine without I/O.
  *
- * <p>The caller feeds messages, proposals and the time, then calls {@link #drain()}, performs the
- * effects in their order and calls {@link #synced()}. Between those two calls it feeds nothing.
+ * <p>The caller passes in messages, proposals and the time, calls {@link #drain()}, performs the
+ * effects in their order and calls {@link #synced()}. Between those two calls it must not call any
+ * other method that changes the state.
  *
  * <pre>{@code
  * core.receive(message, clock.nowMillis());
@@ -30,7 +31,7 @@
  * apply(effects.committed());
  * }</pre>
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  */
 public final class RaftCore {
   private final ReplicaState state;
@@ -38,19 +39,19 @@
   private final Follower follower;
   private final List<Long> failedReads = new ArrayList<>();
   private Role role = Role.FOLLOWER;
-  // Not null exactly while this replica leads.
+  // Non-null if and only if this replica is the leader.
   private Leadership leadership;
 
   /**
-   * Creates a replica from what it had synced.
+   * Creates a replica from its synced state.
    *
    * @param self the id of this replica
-   * @param options the settings
+   * @param options the timing and size limits
    * @param hardState the synced term and vote
    * @param snapshot the last snapshot, or {@link Snapshot#founding}
    * @param entries the entries after the snapshot
-   * @param random draws the election timeouts
-   * @param nowMillis the time
+   * @param random the source of the election timeouts
+   * @param nowMillis the current time in milliseconds
    */
   public RaftCore(
       long self,
@@ -66,14 +67,17 @@
     follower = new Follower(state);
   }
 
-  /** Lets time pass: campaigns, heartbeats and stepping down come from here. */
+  /**
+   * Advances the time. Starts campaigns and heartbeats that are due, and steps down without contact
+   * with a quorum.
+   */
   public void tick(long nowMillis) {
     state.advanceTo(nowMillis);
     if (role == Role.LEADER) {
       tickLeader();
       return;
     }
-    if (!state.electionIsDue()) {
+    if (!state.isElectionDue()) {
       return;
     }
     if (!state.log.membership().isVoter(state.self)) {
@@ -84,7 +88,7 @@
   }
 
   private void tickLeader() {
-    if (!leadership.hearsQuorum()) {
+    if (!leadership.hasQuorumContact()) {
       becomeFollower(state.term());
       return;
     }
@@ -93,46 +97,49 @@
 
   private void campaign() {
     role = Role.PRE_CANDIDATE;
-    state.forgetLeader();
+    state.clearLeader();
     election.startPreVote();
-    if (election.won()) {
-      stand(false);
+    if (election.hasWon()) {
+      becomeCandidate(false);
     }
   }
 
-  private void stand(boolean handOver) {
+  private void becomeCandidate(boolean handOver) {
     role = Role.CANDIDATE;
-    election.startVote(handOver);
+    election.startElection(handOver);
   }
 
   private void becomeFollower(long term) {
     if (leadership != null) {
-      failedReads.addAll(leadership.abandonReads());
+      failedReads.addAll(leadership.takeUnconfirmedReads());
       leadership = null;
     }
     role = Role.FOLLOWER;
-    election.rest();
-    state.forgetLeader();
+    election.resetPreVoteRounds();
+    state.clearLeader();
     state.restartElectionTimer();
     if (term > state.term()) {
-      state.promise(term, ReplicaState.NOBODY);
+      state.updateHardState(term, ReplicaState.NO_REPLICA);
     }
   }
 
   private void becomeLeader() {
     role = Role.LEADER;
-    state.heardLeader(state.self);
+    state.recordLeader(state.self);
     leadership = new Leadership(state);
   }
 
-  /** Takes a message; one for another replica id is dropped, such as one for a wiped disk. */
+  /**
+   * Handles a message. A message for another replica id is dropped, for example one for the
+   * previous id of a host whose disk was wiped.
+   */
   public void receive(RaftMessage message, long nowMillis) {
     state.advanceTo(nowMillis);
     if (message.getTo() != state.self) {
       return;
     }
     boolean voteRequest = message.hasVoteRequest();
-    if (voteRequest && election.disturbs(message.getVoteRequest(), role)) {
+    if (voteRequest && election.shouldIgnore(message.getVoteRequest(), role)) {
       return;
     }
     boolean preVote = voteRequest && message.getVoteRequest().getPreVote();
@@ -140,30 +147,30 @@
       becomeFollower(message.getTerm());
     }
     if (message.getTerm() < state.term()) {
-      refuseStale(message);
+      rejectStale(message);
       return;
     }
     handle(message);
   }
 
-  private void refuseStale(RaftMessage message) {
+  private void rejectStale(RaftMessage message) {
     if (message.hasVoteRequest()) {
-      election.answer(message);
+      election.onVoteRequest(message);
     } else if (message.hasAppendRequest() || message.hasSnapshotChunk()) {
-      follower.refuseStale(message);
+      follower.rejectStale(message);
     }
   }
 
   private void handle(RaftMessage message) {
     switch (message.getBodyCase()) {
-      case VOTE_REQUEST -> election.answer(message);
+      case VOTE_REQUEST -> election.onVoteRequest(message);
       case VOTE_REPLY -> onVoteReply(message);
       case APPEND_REQUEST -> {
-        follow(message.getFrom());
+        followLeader(message.getFrom());
         follower.onAppend(message);
       }
       case SNAPSHOT_CHUNK -> {
-        follow(message.getFrom());
+        followLeader(message.getFrom());
         follower.onSnapshotChunk(message);
       }
       case APPEND_REPLY -> {
@@ -180,60 +187,68 @@
       }
       case TIMEOUT_NOW -> {
         if (role != Role.LEADER && state.log.membership().isVoter(state.self)) {
-          stand(true);
+          becomeCandidate(true);
         }
       }
       default -> {
-        // A body that a newer build added: there is nothing to do for it here.
+        // Ignores a message type that only newer versions know.
       }
     }
   }
 
-  private void follow(long leader) {
+  private void followLeader(long leader) {
     if (role == Role.LEADER) {
       throw new IllegalStateException(
-          "replicas " + state.self + " and " + leader + " both lead term " + state.term());
+          "replicas "
+              + state.self
+              + " and "
+              + leader
+              + " are both leaders of term "
+              + state.term());
     }
     role = Role.FOLLOWER;
-    election.rest();
-    state.heardLeader(leader);
+    election.resetPreVoteRounds();
+    state.recordLeader(leader);
   }
 
   private void onVoteReply(RaftMessage message) {
     VoteReply reply = message.getVoteReply();
-    Role asked = reply.getPreVote() ? Role.PRE_CANDIDATE : Role.CANDIDATE;
+    Role expectedRole = reply.getPreVote() ? Role.PRE_CANDIDATE : Role.CANDIDATE;
     long candidateTerm = reply.getPreVote() ? state.term() + 1 : state.term();
-    if (role != asked || reply.getCandidateTerm() != candidateTerm || !reply.getGranted()) {
+    if (role != expectedRole || reply.getCandidateTerm() != candidateTerm || !reply.getGranted()) {
       return;
     }
-    election.grant(message.getFrom());
+    election.recordVote(message.getFrom());
     advanceElection();
   }
 
   private void advanceElection() {
-    if (!election.won()) {
+    if (!election.hasWon()) {
       return;
     }
     if (role == Role.PRE_CANDIDATE) {
-      stand(false);
+      becomeCandidate(false);
     } else if (role == Role.CANDIDATE) {
       becomeLeader();
     }
   }
 
-  /** A leader that was voted out serves until the change is committed, and no longer. */
+  /**
+   * Steps down if this replica was removed as a voter. A leader serves until its removal is
+   * committed.
+   */
   private void stepDownIfRemoved() {
-    boolean settled = state.log.membershipIndex() <= state.log.commitIndex();
-    if (settled && !state.log.membership().isVoter(state.self)) {
+    boolean membershipCommitted = state.log.membershipIndex() <= state.log.commitIndex();
+    if (membershipCommitted && !state.log.membership().isVoter(state.self)) {
       leadership.flush();
       becomeFollower(state.term());
     }
   }
 
   /**
-   * Appends a command.
+   * Appends a command to the log.
    *
-   * @return its index, or nothing when this replica doesn't lead or is handing over
+   * @return the index of the entry, or empty if this replica is not the leader or is handing over
    */
   public OptionalLong propose(ByteString command) {
     if (leadership == null || leadership.isHandingOver()) {
@@ -242,28 +257,33 @@
     return OptionalLong.of(leadership.append(EntryKind.COMMAND, command));
   }
 
-  /** Changes the membership by one step. */
+  /**
+   * Appends a membership change to the log if it is valid; at most one change is in progress at a
+   * time.
+   */
   public Verdict change(MembershipChange change) {
     if (leadership == null || leadership.isHandingOver()) {
       return Verdict.NOT_LEADER;
     }
-    boolean settled = state.log.membershipIndex() <= state.log.commitIndex();
-    if (!settled || !leadership.isEstablished()) {
+    boolean membershipCommitted = state.log.membershipIndex() <= state.log.commitIndex();
+    if (!membershipCommitted || !leadership.hasCommittedInTerm()) {
       return Verdict.CHANGE_IN_PROGRESS;
     }
-    MembershipRule rule = new MembershipRule(membership(), leadership::hasCaughtUp);
-    Verdict verdict = rule.judge(change);
+    MembershipChangeValidator validator =
+        new MembershipChangeValidator(membership(), leadership::hasCaughtUp);
+    Verdict verdict = validator.validate(change);
     if (verdict == Verdict.ACCEPTED) {
-      leadership.append(EntryKind.MEMBERSHIP, rule.resultOf(change).toList().toByteString());
+      leadership.append(EntryKind.MEMBERSHIP, validator.apply(change).toList().toByteString());
     }
     return verdict;
   }
 
   /**
-   * Asks for a confirmed read.
+   * Requests a read that a quorum confirms.
    *
-   * @return whether this replica leads; if so the read comes back in {@link Effects#reads()} or
-   *     {@link Effects#failedReads()}
+   * @param readId the id under which the read is returned
+   * @return whether this replica is the leader; if so, the read is returned in {@link
+   *     Effects#reads()} or {@link Effects#failedReads()}
    */
   public boolean read(long readId) {
     if (leadership == null) {
@@ -273,43 +293,46 @@
     return true;
   }
 
-  /** Hands the leadership to another voter; returns whether that was begun. */
+  /**
+   * Starts to hand over the leadership to another voter. Returns false if this replica is not the
+   * leader or the target is not another voter.
+   */
   public boolean handOver(long target) {
-    boolean possible = leadership != null && target != state.self && membership().isVoter(target);
-    if (possible) {
+    boolean accepted = leadership != null && target != state.self && membership().isVoter(target);
+    if (accepted) {
       leadership.handOver(target);
     }
-    return possible;
+    return accepted;
   }
 
-  /** Returns the effects of all steps since the last call. */
+  /** Returns and clears the effects of all steps since the last call. */
   public Effects drain() {
     List<ConfirmedRead> reads = List.of();
     if (leadership != null) {
       leadership.flush();
-      reads = leadership.confirmedReads();
+      reads = leadership.takeConfirmedReads();
     }
     Optional<HardState> hardState =
-        state.promiseUnsynced() ? Optional.of(state.promised()) : Optional.empty();
+        state.hasUnsyncedHardState() ? Optional.of(state.hardState()) : Optional.empty();
     List<Long> failed = List.copyOf(failedReads);
     failedReads.clear();
     return new Effects(
-        state.takeEarly(),
+        state.takeBeforeSync(),
         hardState,
-        follower.takeReceived(),
-        state.log.unstored(),
+        follower.takeReceivedSnapshot(),
+        state.log.unstoredEntries(),
         state.takeAfterSync(),
         state.log.takeCommitted(),
         reads,
         failed);
   }
 
-  /** Tells that everything of the last {@link #drain()} is synced. */
+  /** Reports that all effects of the last {@link #drain()} are synced. */
   public void synced() {
-    state.markPromiseStored();
+    state.markHardStateStored();
     state.log.markStored();
     if (role == Role.CANDIDATE) {
-      election.grant(state.self);
+      election.recordVote(state.self);
       advanceElection();
     }
     if (leadership != null) {
@@ -318,12 +341,12 @@
     }
   }
 
-  /** Trims the log by a snapshot of applied entries that the caller took and synced. */
+  /** Compacts the log up to a snapshot of applied entries that the caller took and synced. */
   public void compact(Snapshot snapshot, long keepEntries) {
     state.log.compact(snapshot, keepEntries);
   }
 
-  /** Returns the members as of an index at or after the last snapshot. */
+  /** Returns the members as of an index at or after that of the last snapshot. */
   public Membership membershipAt(long index) {
     return state.log.membershipAt(index);
   }
@@ -333,54 +356,66 @@
     return state.log.termAt(index);
   }
 
-  /** Returns the members by the newest change in the log. */
+  /** Returns the members as of the newest membership change in the log, committed or not. */
   public Membership membership() {
     return state.log.membership();
   }
 
-  /** Returns up to where the leader knows a replica to hold the log; 0 when not leading. */
+  /**
+   * Returns the highest index up to which a replica is known to match the log; 0 if this replica is
+   * not the leader.
+   */
   public long matchIndex(long replicaId) {
     return leadership == null ? 0 : leadership.matchIndex(replicaId);
   }
 
-  /** Returns whether this replica leads and knows exactly what was committed before its term. */
+  /**
+   * Returns whether this replica is the leader and has committed an entry of its term, so that it
+   * knows all entries committed in earlier terms.
+   */
   public boolean isEstablished() {
-    return leadership != null && leadership.isEstablished();
+    return leadership != null && leadership.hasCommittedInTerm();
   }
 
-  /** Returns whether a replica, as the leader knows it, holds the log but for a few entries. */
+  /**
+   * Returns whether a replica replied recently and lacks only a few entries; false if this replica
+   * is not the leader.
+   */
   public boolean hasCaughtUp(long replicaId) {
     return leadership != null && leadership.hasCaughtUp(replicaId);
   }
 
-  /** Returns for how long the leader has not heard a replica; 0 when not leading. */
+  /**
+   * Returns the time in milliseconds since the leader last had contact with a replica; 0 if this
+   * replica is not the leader.
+   */
   public long silentMillis(long replicaId) {
-    return leadership == null ? 0 : leadership.silentMillis(replicaId);
+    return leadership == null ? 0 : leadership.unresponsiveMillis(replicaId);
   }
 
-  /** Returns what this replica does in its term. */
+  /** Returns the role of this replica in its current term. */
   public Role role() {
     return role;
   }
 
-  /** Returns the term. */
+  /** Returns the current term of this replica. */
   public long term() {
     return state.term();
   }
 
-  /** Returns the replica that is believed to lead. */
+  /** Returns the presumed leader of the current term, or empty if none is known. */
   public OptionalLong leader() {
-    return state.leaderId() == ReplicaState.NOBODY
+    return state.leaderId() == ReplicaState.NO_REPLICA
         ? OptionalLong.empty()
         : OptionalLong.of(state.leaderId());
   }
 
-  /** Returns the last entry that is known to be committed. */
+  /** Returns the highest index that is known to be committed. */
   public long commitIndex() {
     return state.log.commitIndex();
   }
 
-  /** Returns the last entry of the log. */
+  /** Returns the index of the last entry in the log. */
   public long lastIndex() {
     return state.log.lastIndex();
   }
--- a/alderyard-control/src/main/java/org/alderyard/control/raft/RaftLog.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/raft/RaftLog.java
@@ -6,16 +6,19 @@
 import org.alderyard.protocol.generated.raft.EntryKind;
 import org.alderyard.protocol.generated.raft.MemberList;
 
-/** The entries after the last snapshot, and how far they are stored, committed and handed out. */
+/**
+ * The entries since the last snapshot, with the indexes up to which they are stored, committed and
+ * delivered.
+ */
 final class RaftLog {
   private final List<Entry> entries = new ArrayList<>();
   private Snapshot snapshot;
-  // The entry before the first one that is kept; at most the snapshot's last one.
+  // The index before the first retained entry; at most the last index of the snapshot.
   private long baseIndex;
   private long baseTerm;
   private long storedIndex;
   private long commitIndex;
-  private long handedIndex;
+  private long deliveredIndex;
   private long membershipIndex;
   private Membership membership;
 
@@ -26,8 +29,8 @@
     entries.addAll(stored);
     storedIndex = lastIndex();
     commitIndex = snapshot.lastIndex();
-    handedIndex = snapshot.lastIndex();
-    findMembership();
+    deliveredIndex = snapshot.lastIndex();
+    refreshMembership();
   }
 
   long lastIndex() {
@@ -50,7 +53,7 @@
     return snapshot;
   }
 
-  /** Returns the members by the newest change in the log, committed or not. */
+  /** Returns the members as of the newest membership change in the log, committed or not. */
   Membership membership() {
     return membership;
   }
@@ -59,8 +62,11 @@
     return membershipIndex;
   }
 
-  /** Returns whether the term of this index is known here. */
-  boolean covers(long index) {
+  /**
+   * Returns whether the term at an index is known, which holds from the base index to the last
+   * index.
+   */
+  boolean hasTermAt(long index) {
     return index >= baseIndex && index <= lastIndex();
   }
 
@@ -69,18 +75,18 @@
   }
 
   boolean matches(long index, long term) {
-    return covers(index) && termAt(index) == term;
+    return hasTermAt(index) && termAt(index) == term;
   }
 
   Entry entry(long index) {
-    return entries.get(position(index));
+    return entries.get(offsetOf(index));
   }
 
-  private int position(long index) {
+  private int offsetOf(long index) {
     return Math.toIntExact(index - baseIndex - 1);
   }
 
-  /** Returns whether a log that ends so is at least as new as this one. */
+  /** Returns whether a log with this last index and term is at least as up to date as this log. */
   boolean isUpToDate(long otherLastIndex, long otherLastTerm) {
     if (otherLastTerm != lastTerm()) {
       return otherLastTerm > lastTerm();
@@ -88,7 +94,7 @@
     return otherLastIndex >= lastIndex();
   }
 
-  /** Adds an entry of a leader at the end. */
+  /** Appends an entry and, if it changes the membership, makes the change effective. */
   void append(Entry entry) {
     entries.add(entry);
     if (entry.getKind() == EntryKind.MEMBERSHIP) {
@@ -97,7 +103,10 @@
     }
   }
 
-  /** Takes over entries of a leader whose preceding entry matched. */
+  /**
+   * Adds entries of a leader whose preceding entry matched. Known entries are skipped; conflicting
+   * entries and all after them are replaced.
+   */
   void merge(List<Entry> received) {
     for (Entry entry : received) {
       if (entry.getIndex() <= baseIndex) {
@@ -115,15 +124,17 @@
 
   private void truncateFrom(long index) {
     if (index <= commitIndex) {
-      throw new IllegalStateException("entry " + index + " is committed and would be replaced");
+      throw new IllegalStateException("entry " + index + " is committed and cannot be replaced");
     }
-    entries.subList(position(index), entries.size()).clear();
+    entries.subList(offsetOf(index), entries.size()).clear();
     storedIndex = Math.min(storedIndex, index - 1);
-    findMembership();
+    refreshMembership();
   }
 
-  /** Returns entries from the index on, about as many as fit, and at least one if there is one. */
-  List<Entry> from(long index, int maxBytes) {
+  /**
+   * Returns entries from an index on, up to about {@code maxBytes}, but at least one if any exists.
+   */
+  List<Entry> entriesFrom(long index, int maxBytes) {
     List<Entry> result = new ArrayList<>();
     int bytes = 0;
     for (long next = index; next <= lastIndex(); next++) {
@@ -137,32 +148,32 @@
     return result;
   }
 
-  /** Raises the commit index; it never falls. */
+  /** Raises the commit index, at most to the last index. The commit index never decreases. */
   void commitTo(long index) {
     commitIndex = Math.max(commitIndex, Math.min(index, lastIndex()));
   }
 
-  /** Returns the committed entries that were not handed out yet. */
+  /** Returns the committed entries that have not been delivered yet and marks them as delivered. */
   List<Entry> takeCommitted() {
     List<Entry> result = new ArrayList<>();
-    while (handedIndex < commitIndex) {
-      handedIndex++;
-      result.add(entry(handedIndex));
+    while (deliveredIndex < commitIndex) {
+      deliveredIndex++;
+      result.add(entry(deliveredIndex));
     }
     return result;
   }
 
-  /** Returns the entries that were not handed out to the disk yet. */
-  List<Entry> unstored() {
+  /** Returns the entries that are not marked as stored. */
+  List<Entry> unstoredEntries() {
     long first = storedIndex + 1;
-    return first > lastIndex() ? List.of() : from(first, Integer.MAX_VALUE);
+    return first > lastIndex() ? List.of() : entriesFrom(first, Integer.MAX_VALUE);
   }
 
   void markStored() {
     storedIndex = lastIndex();
   }
 
-  /** Replaces the whole log by a snapshot of the leader. */
+  /** Replaces the whole log with a snapshot of the leader. */
   void restore(Snapshot received) {
     entries.clear();
     snapshot = received;
@@ -170,37 +181,40 @@
     baseTerm = received.lastTerm();
     storedIndex = received.lastIndex();
     commitIndex = received.lastIndex();
-    handedIndex = received.lastIndex();
-    findMembership();
+    deliveredIndex = received.lastIndex();
+    refreshMembership();
   }
 
-  /** Drops the entries that a snapshot taken here covers, but for a tail for slow followers. */
-  void compact(Snapshot taken, long keepEntries) {
-    if (taken.lastIndex() > handedIndex) {
-      throw new IllegalArgumentException("a snapshot of entries that were not applied");
+  /**
+   * Drops the entries covered by a snapshot of this replica, except the last {@code keepEntries},
+   * which let slow followers catch up without a snapshot.
+   */
+  void compact(Snapshot newSnapshot, long keepEntries) {
+    if (newSnapshot.lastIndex() > deliveredIndex) {
+      throw new IllegalArgumentException("snapshot covers entries that are not applied yet");
     }
-    if (taken.lastIndex() <= snapshot.lastIndex()) {
+    if (newSnapshot.lastIndex() <= snapshot.lastIndex()) {
       return;
     }
-    long newBase = Math.max(baseIndex, taken.lastIndex() - keepEntries);
+    long newBase = Math.max(baseIndex, newSnapshot.lastIndex() - keepEntries);
     long newBaseTerm = termAt(newBase);
-    entries.subList(0, position(newBase) + 1).clear();
+    entries.subList(0, offsetOf(newBase) + 1).clear();
     baseIndex = newBase;
     baseTerm = newBaseTerm;
-    snapshot = taken;
+    snapshot = newSnapshot;
   }
 
-  /** Returns the members as of an index at or after the snapshot. */
+  /** Returns the members as of an index at or after that of the snapshot. */
   Membership membershipAt(long index) {
-    for (long at = index; at > snapshot.lastIndex(); at--) {
-      if (entry(at).getKind() == EntryKind.MEMBERSHIP) {
-        return membershipOf(entry(at));
+    for (long i = index; i > snapshot.lastIndex(); i--) {
+      if (entry(i).getKind() == EntryKind.MEMBERSHIP) {
+        return membershipOf(entry(i));
       }
     }
     return snapshot.membership();
   }
 
-  private void findMembership() {
+  private void refreshMembership() {
     membership = membershipAt(lastIndex());
     membershipIndex = lastIndex();
     while (membershipIndex > snapshot.lastIndex()
@@ -212,8 +226,9 @@
   private static Membership membershipOf(Entry entry) {
     try {
       return new Membership(MemberList.parseFrom(entry.getData()));
-    } catch (com.google.protobuf.InvalidProtocolBufferException damaged) {
-      throw new IllegalStateException("members at " + entry.getIndex() + " can't be read", damaged);
+    } catch (com.google.protobuf.InvalidProtocolBufferException e) {
+      throw new IllegalStateException(
+          "membership entry " + entry.getIndex() + " cannot be parsed", e);
     }
   }
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/raft/RaftOptions.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/raft/RaftOptions.java
@@ -4,15 +4,18 @@
 import org.alderyard.common.error.ErrorCode;
 
 /**
- * The settings of the agreement.
+ * Timing and size limits of the Raft log.
  *
- * @param electionTimeoutMinMillis the shortest silence of a leader after which a replica campaigns
- * @param electionTimeoutMaxMillis the longest such silence; each replica draws its own
- * @param heartbeatMillis how often a leader speaks when it has nothing to say
- * @param maxBatchBytes about how many bytes of entries one message holds
- * @param maxInflight how many messages with entries may wait for a reply, per replica
- * @param snapshotChunkBytes how many bytes of a snapshot one message holds
- * @param maxCatchUpGap how many entries a learner may lack when it becomes a voter
+ * @param electionTimeoutMinMillis the minimum time without contact with a leader before a replica
+ *     campaigns
+ * @param electionTimeoutMaxMillis the maximum of that time; each replica draws its timeout at
+ *     random
+ * @param heartbeatMillis the interval at which an idle leader sends heartbeats
+ * @param maxBatchBytes the approximate size limit of the entries in one message
+ * @param maxInflight the maximum number of messages with entries that wait for a reply, per replica
+ * @param snapshotChunkBytes the size of the part of a snapshot that one message holds
+ * @param maxCatchUpGap the maximum number of entries that a learner may lack when it becomes a
+ *     voter
  */
 public record RaftOptions(
     long electionTimeoutMinMillis,
@@ -22,37 +25,47 @@
     int maxInflight,
     int snapshotChunkBytes,
     long maxCatchUpGap) {
-  private static final int DEFAULT_BATCH_BYTES = 256 * 1024;
-  private static final int DEFAULT_CHUNK_BYTES = 512 * 1024;
-  private static final int DEFAULT_INFLIGHT = 16;
-  private static final long DEFAULT_GAP = 64;
+  private static final int DEFAULT_MAX_BATCH_BYTES = 256 * 1024;
+  private static final int DEFAULT_SNAPSHOT_CHUNK_BYTES = 512 * 1024;
+  private static final int DEFAULT_MAX_INFLIGHT = 16;
+  private static final long DEFAULT_MAX_CATCH_UP_GAP = 64;
 
-  /** Checks that the times fit each other. */
+  /**
+   * Checks the heartbeat interval against the election timeouts.
+   *
+   * @throws AlderyardException with {@link ErrorCode#SETTINGS_INVALID} if they do not fit together
+   */
   public RaftOptions {
     if (heartbeatMillis <= 0
         || electionTimeoutMinMillis < 2 * heartbeatMillis
         || electionTimeoutMaxMillis <= electionTimeoutMinMillis) {
       throw AlderyardException.notRun(
           ErrorCode.SETTINGS_INVALID,
-          "heartbeat "
+          "invalid Raft timing: heartbeat "
               + heartbeatMillis
               + " ms, election timeout "
               + electionTimeoutMinMillis
               + " to "
               + electionTimeoutMaxMillis
-              + " ms; accepted are a heartbeat above 0, a minimum of at least two heartbeats"
-              + " and a maximum above the minimum");
+              + " ms; the heartbeat must be above 0, the minimum at least twice the heartbeat"
+              + " and the maximum above the minimum");
     }
   }
 
   /**
-   * Returns the defaults: a heartbeat of 50 ms and an election timeout of 250 to 500 ms.
+   * Returns the defaults, among them a heartbeat of 50 ms and an election timeout of 250 to 500 ms.
    *
-   * <p>A sync holds the heartbeats back; a shared disk was seen to take more than 100 ms for one,
-   * which is too close to a timeout of 150 ms.
+   * <p>A sync delays heartbeats, and a single sync on a shared disk can take more than 100 ms. That
+   * is too close to an election timeout of 150 ms.
    */
   public static RaftOptions defaults() {
     return new RaftOptions(
-        250, 500, 50, DEFAULT_BATCH_BYTES, DEFAULT_INFLIGHT, DEFAULT_CHUNK_BYTES, DEFAULT_GAP);
+        250,
+        500,
+        50,
+        DEFAULT_MAX_BATCH_BYTES,
+        DEFAULT_MAX_INFLIGHT,
+        DEFAULT_SNAPSHOT_CHUNK_BYTES,
+        DEFAULT_MAX_CATCH_UP_GAP);
   }
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/raft/ReadQueue.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/raft/ReadQueue.java
@@ -7,47 +7,51 @@
 import org.alderyard.control.raft.Effects.ConfirmedRead;
 
 /**
- * Reads that wait for a quorum to confirm the leader.
+ * Queue of reads that wait until a quorum confirms the leader.
  *
- * <p>Guards against a replaced leader that doesn't know it yet and would answer from an old state:
- * a read counts only after a majority answered a round of heartbeats that began after the read.
+ * <p>A read is confirmed only after a majority has replied to a heartbeat round that started after
+ * the read. Without this a replaced leader that has not yet received the new term would answer from
+ * stale state.
  */
 final class ReadQueue {
-  private final List<Long> arrived = new ArrayList<>();
-  private final Deque<Pending> pending = new ArrayDeque<>();
+  private final List<Long> newReads = new ArrayList<>();
+  private final Deque<PendingRead> pending = new ArrayDeque<>();
 
   void add(long readId) {
-    arrived.add(readId);
+    newReads.add(readId);
   }
 
-  boolean hasArrived() {
-    return !arrived.isEmpty();
+  boolean hasNewReads() {
+    return !newReads.isEmpty();
   }
 
-  /** Binds the reads that arrived to the round that begins now. */
-  void beginRound(long round, long index) {
-    arrived.forEach(readId -> pending.addLast(new Pending(readId, round, index)));
-    arrived.clear();
+  /**
+   * Assigns the new reads to the heartbeat round that starts now. Each read requires the given
+   * index to be applied.
+   */
+  void assignRound(long round, long index) {
+    newReads.forEach(readId -> pending.addLast(new PendingRead(readId, round, index)));
+    newReads.clear();
   }
 
-  /** Returns the reads that this confirmed round covers. */
-  List<ConfirmedRead> confirm(long round) {
+  /** Removes and returns the reads of all rounds up to a confirmed round. */
+  List<ConfirmedRead> takeConfirmed(long round) {
     List<ConfirmedRead> result = new ArrayList<>();
     while (!pending.isEmpty() && pending.peekFirst().round <= round) {
-      Pending read = pending.removeFirst();
+      PendingRead read = pending.removeFirst();
       result.add(new ConfirmedRead(read.readId, read.index));
     }
     return result;
   }
 
   /** Removes and returns all reads. */
-  List<Long> drain() {
-    List<Long> result = new ArrayList<>(arrived);
+  List<Long> takeAll() {
+    List<Long> result = new ArrayList<>(newReads);
     pending.forEach(read -> result.add(read.readId));
-    arrived.clear();
+    newReads.clear();
     pending.clear();
     return result;
   }
 
-  private record Pending(long readId, long round, long index) {}
+  private record PendingRead(long readId, long round, long index) {}
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/raft/ReplicaState.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/raft/ReplicaState.java
@@ -6,38 +6,36 @@
 import org.alderyard.protocol.generated.raft.HardState;
 import org.alderyard.protocol.generated.raft.RaftMessage;
 
-/**
- * What the parts of one replica share: its promises, its log, the time and the messages to send.
- */
+/** State shared by the parts of one replica: term and vote, log, time and outgoing messages. */
 final class ReplicaState {
-  static final long NOBODY = 0;
+  static final long NO_REPLICA = 0;
 
   /**
-   * For how long after its start a replica repeats pre-votes at the pace of heartbeats: machines
-   * that come back together differ by some tenths of a second.
+   * Period after the start of a replica in which it repeats pre-votes at the heartbeat interval.
+   * Machines that restart together come up some tenths of a second apart.
    */
-  private static final long STARTING_MILLIS = 1_000;
+  private static final long STARTUP_MILLIS = 1_000;
 
   final long self;
   final RaftOptions options;
   final RaftLog log;
   private final RandomGenerator random;
-  private final List<RaftMessage> early = new ArrayList<>();
+  private final List<RaftMessage> beforeSync = new ArrayList<>();
   private final List<RaftMessage> afterSync = new ArrayList<>();
-  private HardState promised;
-  private HardState stored;
-  private long leaderId = NOBODY;
+  private HardState hardState;
+  private HardState storedHardState;
+  private long leaderId = NO_REPLICA;
   private long nowMillis;
   private long electionDeadlineMillis;
-  private long leaderHeardMillis;
+  private long leaderContactMillis;
   private final long startedMillis;
-  private boolean everHeardLeader;
+  private boolean hasSeenLeader;
 
   ReplicaState(
       long self,
       RaftOptions options,
       RaftLog log,
-      HardState stored,
+      HardState storedHardState,
       RandomGenerator random,
       long nowMillis) {
     this.self = self;
@@ -45,8 +43,8 @@
     this.log = log;
     this.random = random;
     this.nowMillis = nowMillis;
-    this.promised = stored;
-    this.stored = stored;
+    this.hardState = storedHardState;
+    this.storedHardState = storedHardState;
     this.startedMillis = nowMillis;
     electionDeadlineMillis = nowMillis + random.nextLong(options.heartbeatMillis());
   }
@@ -55,69 +53,77 @@
     return nowMillis;
   }
 
-  /** Moves the time on; a clock that seems to go back is taken as standing still. */
+  /** Advances the time. A time before the current one is ignored, so the time never goes back. */
   void advanceTo(long millis) {
     nowMillis = Math.max(nowMillis, millis);
   }
 
   long term() {
-    return promised.getTerm();
+    return hardState.getTerm();
   }
 
   long votedFor() {
-    return promised.getVotedFor();
+    return hardState.getVotedFor();
   }
 
-  /** Promises to take part in no earlier term, and to give the vote of this term to nobody else. */
-  void promise(long term, long votedFor) {
-    promised = HardState.newBuilder().setTerm(term).setVotedFor(votedFor).build();
+  /**
+   * Sets the current term and the vote cast in it. Once synced, the replica takes part in no
+   * earlier term and votes for no other candidate in this term.
+   */
+  void updateHardState(long term, long votedFor) {
+    hardState = HardState.newBuilder().setTerm(term).setVotedFor(votedFor).build();
   }
 
-  HardState promised() {
-    return promised;
+  HardState hardState() {
+    return hardState;
   }
 
-  boolean promiseUnsynced() {
-    return !promised.equals(stored);
+  boolean hasUnsyncedHardState() {
+    return !hardState.equals(storedHardState);
   }
 
-  void markPromiseStored() {
-    stored = promised;
+  void markHardStateStored() {
+    storedHardState = hardState;
   }
 
   long leaderId() {
     return leaderId;
   }
 
-  void forgetLeader() {
-    leaderId = NOBODY;
+  void clearLeader() {
+    leaderId = NO_REPLICA;
   }
 
-  void heardLeader(long leader) {
+  void recordLeader(long leader) {
     leaderId = leader;
-    everHeardLeader = true;
-    leaderHeardMillis = nowMillis;
+    hasSeenLeader = true;
+    leaderContactMillis = nowMillis;
     restartElectionTimer();
   }
 
-  /** Returns whether a leader was heard so lately that nobody needs an election. */
-  boolean leaderIsFresh() {
-    return leaderId != NOBODY && nowMillis - leaderHeardMillis < options.electionTimeoutMinMillis();
+  /** Returns whether the last contact with a leader is too recent for an election. */
+  boolean hasRecentLeader() {
+    return leaderId != NO_REPLICA
+        && nowMillis - leaderContactMillis < options.electionTimeoutMinMillis();
   }
 
   /**
-   * Returns whether this replica has just started and has not heard a leader yet.
+   * Returns whether this replica started recently and has had no contact with a leader since.
    *
-   * <p>Guards against an election timeout that nobody needs: after a loss of power everywhere all
-   * callers wait for the first leader, and there was none whose silence could be waited out. Asking
-   * for pre-votes at once disturbs no leader that lives, since those that hear it refuse.
+   * <p>During this period the replica does not wait for an election timeout. After a power loss on
+   * all hosts no leader exists whose timeout could be awaited, and all callers wait for the first
+   * one. Immediate pre-votes do not disrupt a live leader, since the replicas in contact with it
+   * refuse them.
    */
   boolean isStarting() {
-    return !everHeardLeader && nowMillis - startedMillis < STARTING_MILLIS;
+    return !hasSeenLeader && nowMillis - startedMillis < STARTUP_MILLIS;
   }
 
-  /** Waits for the next round of pre-votes; others may not be up yet when this replica starts. */
-  void awaitNextPreVote() {
+  /**
+   * Schedules the next pre-vote round. During startup the delay is one heartbeat, since other
+   * replicas may not be up yet.
+   */
+  void scheduleNextPreVote() {
     if (isStarting()) {
       electionDeadlineMillis = nowMillis + options.heartbeatMillis();
     } else {
@@ -125,7 +131,7 @@
     }
   }
 
-  boolean electionIsDue() {
+  boolean isElectionDue() {
     return nowMillis >= electionDeadlineMillis;
   }
 
@@ -140,24 +146,27 @@
     return RaftMessage.newBuilder().setFrom(self).setTo(to).setTerm(term());
   }
 
-  /** Sends without waiting for the disk: only for what a leader says of its synced term. */
-  void sendEarly(RaftMessage.Builder message) {
-    early.add(message.build());
+  /**
+   * Queues a message that is sent before the sync. Safe only for messages of a leader, whose term
+   * is already synced.
+   */
+  void sendBeforeSync(RaftMessage.Builder message) {
+    beforeSync.add(message.build());
   }
 
   void sendAfterSync(RaftMessage.Builder message) {
     afterSync.add(message.build());
   }
 
-  List<RaftMessage> takeEarly() {
-    return take(early);
+  List<RaftMessage> takeBeforeSync() {
+    return takeAll(beforeSync);
   }
 
   List<RaftMessage> takeAfterSync() {
-    return take(afterSync);
+    return takeAll(afterSync);
   }
 
-  private static List<RaftMessage> take(List<RaftMessage> messages) {
+  private static List<RaftMessage> takeAll(List<RaftMessage> messages) {
     List<RaftMessage> result = List.copyOf(messages);
     messages.clear();
     return result;
--- a/alderyard-control/src/main/java/org/alderyard/control/raft/Replication.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/raft/Replication.java
@@ -8,7 +8,7 @@
 import org.alderyard.protocol.generated.raft.SnapshotChunk;
 import org.alderyard.protocol.generated.raft.SnapshotReply;
 
-/** Sends entries, heartbeats and snapshots to one replica at a time, by its progress. */
+/** Sends entries, heartbeats and snapshots to one replica according to its {@link Progress}. */
 final class Replication {
   private final ReplicaState state;
 
@@ -17,63 +17,69 @@
   }
 
   /**
-   * Speaks to a replica even when there is nothing new; a lost message is made up for here.
+   * Sends a replica its message for a heartbeat round, even without new entries, and repeats a lost
+   * probe or snapshot chunk.
    *
-   * <p>This is also the back-off: a replica that doesn't answer costs one message a heartbeat, and
-   * that is empty until it answers.
+   * <p>This is also the backoff for an unresponsive replica: it is sent one message per heartbeat,
+   * without entries until it replies.
    */
-  void beat(long peer, Progress progress, long round) {
-    progress.allowProbe();
-    if (progress.sending().isPresent()) {
-      sendChunk(peer, progress, round);
+  void sendHeartbeat(long peer, Progress progress, long round) {
+    progress.allowProbeRetry();
+    if (progress.pendingSnapshot().isPresent()) {
+      sendSnapshotChunk(peer, progress, round);
       return;
     }
-    if (!feedOnce(peer, progress, round, isSilent(progress))) {
+    if (!sendNext(peer, progress, round, isUnresponsive(progress))) {
       sendAppend(peer, progress, List.of(), round);
     }
   }
 
-  private boolean isSilent(Progress progress) {
-    long silentMillis = state.nowMillis() - progress.heardMillis();
-    return progress.probing() && silentMillis > 2 * state.options.heartbeatMillis();
+  private boolean isUnresponsive(Progress progress) {
+    long unresponsiveMillis = state.nowMillis() - progress.lastContactMillis();
+    return progress.probing() && unresponsiveMillis > 2 * state.options.heartbeatMillis();
   }
 
-  /** Sends what a replica lacks as far as its window allows. */
-  void feed(long peer, Progress progress, long round, boolean speak) {
+  /**
+   * Sends the entries that a replica lacks, up to its in-flight limit. If {@code sendCommitIndex}
+   * is set and no entries were sent, an empty append carries the commit index.
+   */
+  void sendEntries(long peer, Progress progress, long round, boolean sendCommitIndex) {
     boolean sent = false;
-    while (feedOnce(peer, progress, round, false)) {
+    while (sendNext(peer, progress, round, false)) {
       sent = true;
     }
-    if (speak && !sent && !progress.probing()) {
+    if (sendCommitIndex && !sent && !progress.probing()) {
       sendAppend(peer, progress, List.of(), round);
     }
   }
 
-  private boolean feedOnce(long peer, Progress progress, long round, boolean silent) {
-    if (silent || !progress.maySend(state.options.maxInflight())) {
+  private boolean sendNext(long peer, Progress progress, long round, boolean unresponsive) {
+    if (unresponsive || !progress.canSendEntries(state.options.maxInflight())) {
       return false;
     }
-    if (!state.log.covers(progress.nextIndex() - 1)) {
+    if (!state.log.hasTermAt(progress.nextIndex() - 1)) {
       progress.startSnapshot(state.log.snapshot());
-      sendChunk(peer, progress, round);
+      sendSnapshotChunk(peer, progress, round);
       return true;
     }
-    List<Entry> entries = state.log.from(progress.nextIndex(), state.options.maxBatchBytes());
+    List<Entry> entries =
+        state.log.entriesFrom(progress.nextIndex(), state.options.maxBatchBytes());
     if (entries.isEmpty()) {
       return false;
     }
     sendAppend(peer, progress, entries, round);
-    progress.sent(entries.get(entries.size() - 1).getIndex());
+    progress.recordSent(entries.get(entries.size() - 1).getIndex());
     return true;
   }
 
   private void sendAppend(long peer, Progress progress, List<Entry> entries, long round) {
-    // Before a snapshot is due the place after the start of the log stands in for the true one.
+    // If the previous entry was compacted away, the commit index is used instead until a
+    // snapshot is sent.
     long prevIndex =
-        state.log.covers(progress.nextIndex() - 1)
+        state.log.hasTermAt(progress.nextIndex() - 1)
             ? progress.nextIndex() - 1
             : state.log.commitIndex();
-    state.sendEarly(
+    state.sendBeforeSync(
         state
             .message(peer)
             .setAppendRequest(
@@ -85,12 +91,12 @@
                     .setRound(round)));
   }
 
-  private void sendChunk(long peer, Progress progress, long round) {
-    Snapshot snapshot = progress.sending().orElseThrow();
-    int from = Math.toIntExact(Math.min(progress.sentBytes(), snapshot.data().size()));
-    int until = Math.min(from + state.options.snapshotChunkBytes(), snapshot.data().size());
-    ByteString data = snapshot.data().substring(from, until);
-    state.sendEarly(
+  private void sendSnapshotChunk(long peer, Progress progress, long round) {
+    Snapshot snapshot = progress.pendingSnapshot().orElseThrow();
+    int start = Math.toIntExact(Math.min(progress.snapshotOffsetBytes(), snapshot.data().size()));
+    int end = Math.min(start + state.options.snapshotChunkBytes(), snapshot.data().size());
+    ByteString data = snapshot.data().substring(start, end);
+    state.sendBeforeSync(
         state
             .message(peer)
             .setSnapshotChunk(
@@ -99,32 +105,34 @@
                     .setLastTerm(snapshot.lastTerm())
                     .setMembers(snapshot.membership().toList())
                     .setTotalBytes(snapshot.data().size())
-                    .setOffsetBytes(from)
+                    .setOffsetBytes(start)
                     .setData(data)
                     .setRound(round)));
   }
 
   void onSnapshotReply(long peer, Progress progress, SnapshotReply reply, long round) {
     if (reply.getDone()) {
-      progress.matched(reply.getLastIndex());
+      progress.recordMatch(reply.getLastIndex());
       return;
     }
-    boolean current =
+    boolean isPendingSnapshot =
         progress
-            .sending()
+            .pendingSnapshot()
             .map(Snapshot::lastIndex)
-            .filter(i -> i == reply.getLastIndex())
+            .filter(index -> index == reply.getLastIndex())
             .isPresent();
-    if (current && reply.getOffsetBytes() != progress.sentBytes()) {
-      progress.expectsOffset(reply.getOffsetBytes());
-      sendChunk(peer, progress, round);
+    if (isPendingSnapshot && reply.getOffsetBytes() != progress.snapshotOffsetBytes()) {
+      progress.setSnapshotOffset(reply.getOffsetBytes());
+      sendSnapshotChunk(peer, progress, round);
     }
   }
 
-  /** Returns the last place at or before the follower's hint where the logs may agree. */
-  long agreement(AppendReply reply) {
+  /** Returns the highest index, at most the hint of the follower, at which both logs may match. */
+  long lastPossibleMatch(AppendReply reply) {
     long index = Math.min(reply.getHintIndex(), state.log.lastIndex());
-    while (state.log.covers(index) && index > 0 && state.log.termAt(index) > reply.getHintTerm()) {
+    while (state.log.hasTermAt(index)
+        && index > 0
+        && state.log.termAt(index) > reply.getHintTerm()) {
       index--;
     }
     return index;
--- a/alderyard-control/src/main/java/org/alderyard/control/raft/Role.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/raft/Role.java
@@ -1,13 +1,13 @@
 package org.alderyard.control.raft;
 
-/** What a replica does in its term. */
+/** Role of a replica in its current term. */
 public enum Role {
-  /** Copies the log of the leader, if there is one. */
+  /** Replicates the log of the leader, if one is known. */
   FOLLOWER,
-  /** Asks whether it could win an election, without disturbing the term. */
+  /** Runs a pre-vote: checks whether an election could be won without raising the term. */
   PRE_CANDIDATE,
-  /** Stands for election. */
+  /** Requests votes for a new term. */
   CANDIDATE,
-  /** Orders the log. */
+  /** Appends entries to the log and replicates them to the other members. */
   LEADER
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/raft/SnapshotReceiver.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/raft/SnapshotReceiver.java
@@ -4,37 +4,41 @@
 import java.util.Optional;
 import org.alderyard.protocol.generated.raft.SnapshotChunk;
 
-/** Puts the chunks of a snapshot together; a chunk out of order is dropped and asked for again. */
+/**
+ * Reassembles a snapshot from its chunks. A chunk whose offset is not the expected one is dropped,
+ * and the sender resends from the expected offset.
+ */
 final class SnapshotReceiver {
   private long lastIndex;
   private long lastTerm;
-  private ByteString held = ByteString.EMPTY;
+  private ByteString buffer = ByteString.EMPTY;
 
-  /** Takes a chunk; the result is the whole snapshot once the last chunk came. */
+  /** Adds a chunk. Returns the complete snapshot after the last chunk, otherwise empty. */
   Optional<Snapshot> receive(SnapshotChunk chunk) {
     if (chunk.getLastIndex() != lastIndex || chunk.getLastTerm() != lastTerm) {
       lastIndex = chunk.getLastIndex();
       lastTerm = chunk.getLastTerm();
-      held = ByteString.EMPTY;
+      buffer = ByteString.EMPTY;
     }
-    if (chunk.getOffsetBytes() == held.size()) {
-      held = held.concat(chunk.getData());
+    if (chunk.getOffsetBytes() == buffer.size()) {
+      buffer = buffer.concat(chunk.getData());
     }
-    if (held.size() < chunk.getTotalBytes()) {
+    if (buffer.size() < chunk.getTotalBytes()) {
       return Optional.empty();
     }
-    Snapshot whole = new Snapshot(lastIndex, lastTerm, new Membership(chunk.getMembers()), held);
+    Snapshot snapshot =
+        new Snapshot(lastIndex, lastTerm, new Membership(chunk.getMembers()), buffer);
     reset();
-    return Optional.of(whole);
+    return Optional.of(snapshot);
   }
 
   long expectedOffset() {
-    return held.size();
+    return buffer.size();
   }
 
   void reset() {
     lastIndex = 0;
     lastTerm = 0;
-    held = ByteString.EMPTY;
+    buffer = ByteString.EMPTY;
   }
 }
--- a/alderyard-control/src/test/java/org/alderyard/control/raft/RaftCluster.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/raft/RaftCluster.java
@@ -13,15 +13,18 @@
 import org.alderyard.protocol.generated.raft.Member;
 import org.alderyard.protocol.generated.raft.RaftMessage;
 
-/** Replicas in one thread under a paused clock, with a message pipe that a test can spoil. */
+/**
+ * Replicas that run in one thread under a simulated clock. They exchange messages through a queue
+ * in which a test can block links and drop, duplicate or reorder messages.
+ */
 final class RaftCluster {
-  private static final int SETTLE_TURNS = 3_000;
-  private static final long TURN_MILLIS = 10;
+  private static final int MAX_CONVERGENCE_STEPS = 3_000;
+  private static final long STEP_MILLIS = 10;
 
   final RaftInvariants invariants = new RaftInvariants();
   final Map<Long, RaftReplica> replicas = new TreeMap<>();
-  final List<RaftMessage> pipe = new ArrayList<>();
-  private final Set<List<Long>> cuts = new HashSet<>();
+  final List<RaftMessage> messages = new ArrayList<>();
+  private final Set<List<Long>> blockedLinks = new HashSet<>();
   private final SplittableRandom random;
   private long nowMillis;
   private long nextCommand;
@@ -49,34 +52,34 @@
   }
 
   private void enqueue(RaftMessage message) {
-    if (!cuts.contains(List.of(message.getFrom(), message.getTo()))) {
-      pipe.add(message);
+    if (!blockedLinks.contains(List.of(message.getFrom(), message.getTo()))) {
+      messages.add(message);
     }
   }
 
-  void cut(long from, long to) {
-    cuts.add(List.of(from, to));
-    pipe.removeIf(message -> message.getFrom() == from && message.getTo() == to);
+  void blockLink(long from, long to) {
+    blockedLinks.add(List.of(from, to));
+    messages.removeIf(message -> message.getFrom() == from && message.getTo() == to);
   }
 
   void isolate(long id) {
     for (long other : replicas.keySet()) {
-      cut(id, other);
-      cut(other, id);
+      blockLink(id, other);
+      blockLink(other, id);
     }
   }
 
-  void heal() {
-    cuts.clear();
+  void restoreLinks() {
+    blockedLinks.clear();
   }
 
-  Collection<RaftReplica> up() {
-    return replicas.values().stream().filter(RaftReplica::isUp).toList();
+  Collection<RaftReplica> runningReplicas() {
+    return replicas.values().stream().filter(RaftReplica::isRunning).toList();
   }
 
   Optional<RaftReplica> leader() {
-    return up().stream()
-        .filter(RaftReplica::leads)
+    return runningReplicas().stream()
+        .filter(RaftReplica::isLeader)
         .max((a, b) -> Long.compare(a.core().term(), b.core().term()));
   }
 
@@ -88,65 +91,71 @@
     return nowMillis;
   }
 
-  void advance(long millis) {
+  void advanceClock(long millis) {
     nowMillis += millis;
   }
 
   void tick(RaftReplica replica, boolean crashBeforeSync) {
     replica.core().tick(nowMillis);
-    replica.perform(crashBeforeSync);
+    replica.performEffects(crashBeforeSync);
   }
 
   void deliver(RaftMessage message, boolean crashBeforeSync) {
     RaftReplica target = replicas.get(message.getTo());
-    if (target == null || !target.isUp()) {
+    if (target == null || !target.isRunning()) {
       return;
     }
     target.core().receive(message, nowMillis);
-    target.perform(crashBeforeSync);
+    target.performEffects(crashBeforeSync);
   }
 
   boolean propose(RaftReplica replica) {
     nextCommand++;
-    boolean taken =
+    boolean accepted =
         replica.core().propose(ByteString.copyFromUtf8("command-" + nextCommand)).isPresent();
-    replica.perform(false);
-    return taken;
+    replica.performEffects(false);
+    return accepted;
   }
 
-  /** Lets time pass with a sound pipe: everything that is not cut arrives in order. */
+  /**
+   * Advances the clock in steps and delivers all messages of links that are not blocked, in order.
+   */
   void run(long millis) {
-    for (long passed = 0; passed < millis; passed += TURN_MILLIS) {
-      advance(TURN_MILLIS);
-      for (RaftReplica replica : up()) {
+    for (long elapsed = 0; elapsed < millis; elapsed += STEP_MILLIS) {
+      advanceClock(STEP_MILLIS);
+      for (RaftReplica replica : runningReplicas()) {
         tick(replica, false);
       }
-      while (!pipe.isEmpty()) {
-        deliver(pipe.remove(0), false);
+      while (!messages.isEmpty()) {
+        deliver(messages.remove(0), false);
       }
     }
   }
 
-  /** Runs until one replica leads and all members that are up hold the same; fails otherwise. */
-  RaftReplica settle() {
-    for (int turn = 0; turn < SETTLE_TURNS; turn++) {
-      run(TURN_MILLIS);
+  /**
+   * Runs until a leader has committed its whole log and all running members have applied it; fails
+   * if that takes too long. Returns the leader.
+   */
+  RaftReplica runUntilConverged() {
+    for (int step = 0; step < MAX_CONVERGENCE_STEPS; step++) {
+      run(STEP_MILLIS);
       Optional<RaftReplica> leader = leader();
-      if (leader.isPresent() && isSettled(leader.get())) {
+      if (leader.isPresent() && hasConverged(leader.get())) {
         return leader.get();
       }
     }
-    throw new AssertionError("not settled after " + SETTLE_TURNS * TURN_MILLIS + " ms");
+    throw new AssertionError(
+        "no convergence within " + MAX_CONVERGENCE_STEPS * STEP_MILLIS + " ms");
   }
 
-  private boolean isSettled(RaftReplica leader) {
+  private boolean hasConverged(RaftReplica leader) {
     RaftCore core = leader.core();
     if (core.commitIndex() < core.lastIndex() || core.termAt(core.commitIndex()) != core.term()) {
       return false;
     }
     return core.membership().replicaIds().stream()
         .map(replicas::get)
-        .filter(RaftReplica::isUp)
+        .filter(RaftReplica::isRunning)
         .allMatch(
             member ->
                 member.appliedIndex() == leader.appliedIndex()
--- a/alderyard-control/src/test/java/org/alderyard/control/raft/RaftInvariants.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/raft/RaftInvariants.java
@@ -8,13 +8,13 @@
 import org.alderyard.control.raft.Effects.ConfirmedRead;
 import org.alderyard.protocol.generated.raft.Entry;
 
-/** What must hold at every step, whatever the network and the disks do. */
+/** Safety invariants of Raft, which must hold at every step under any network and disk faults. */
 final class RaftInvariants {
   private final Map<Long, Long> leaderOfTerm = new HashMap<>();
-  private final Map<String, String> entryByPlace = new HashMap<>();
+  private final Map<String, String> entryByIndexAndTerm = new HashMap<>();
   private final TreeMap<Long, Entry> committed = new TreeMap<>();
   private final Map<Long, Long> digestAt = new HashMap<>(Map.of(0L, 0L));
-  private final Map<Long, Long> committedWhenAsked = new HashMap<>();
+  private final Map<Long, Long> committedAtRequest = new HashMap<>();
   private long checks;
 
   long checks() {
@@ -25,15 +25,15 @@
     return committed.isEmpty() ? 0 : committed.lastKey();
   }
 
-  /** One leader a term, and it holds every committed entry. */
-  void leads(RaftReplica replica) {
+  /** Checks that each term has one leader and that a new leader holds every committed entry. */
+  void checkLeader(RaftReplica replica) {
     checks++;
     long term = replica.core().term();
-    Long first = leaderOfTerm.putIfAbsent(term, replica.id);
+    Long earlier = leaderOfTerm.putIfAbsent(term, replica.id);
     assertWithMessage("leader of term " + term)
-        .that(first == null ? replica.id : first)
+        .that(earlier == null ? replica.id : earlier)
         .isEqualTo(replica.id);
-    if (first == null && !committed.isEmpty()) {
+    if (earlier == null && !committed.isEmpty()) {
       Entry last = committed.lastEntry().getValue();
       assertWithMessage("last index of the new leader")
           .that(replica.core().lastIndex())
@@ -44,39 +44,45 @@
     }
   }
 
-  /** Log matching: a place and term name one entry, with one entry before it. */
-  void stored(Entry entry, long previousTerm) {
+  /**
+   * Checks log matching: an index and a term identify one entry and the term of its predecessor.
+   */
+  void checkStored(Entry entry, long previousTerm) {
     checks++;
-    String place = entry.getIndex() + "@" + entry.getTerm();
+    String indexAndTerm = entry.getIndex() + "@" + entry.getTerm();
     String content = previousTerm + " " + entry.getKind() + " " + entry.getData().toStringUtf8();
-    String first = entryByPlace.putIfAbsent(place, content);
-    assertWithMessage("entry " + place).that(first == null ? content : first).isEqualTo(content);
+    String earlier = entryByIndexAndTerm.putIfAbsent(indexAndTerm, content);
+    assertWithMessage("entry " + indexAndTerm)
+        .that(earlier == null ? content : earlier)
+        .isEqualTo(content);
   }
 
-  /** Committed entries never change, and all replicas apply the same prefix. */
-  void applied(Entry entry, long digest) {
+  /** Checks that committed entries never change and that all replicas apply the same prefix. */
+  void checkApplied(Entry entry, long digest) {
     checks++;
-    Entry first = committed.putIfAbsent(entry.getIndex(), entry);
+    Entry earlier = committed.putIfAbsent(entry.getIndex(), entry);
     assertWithMessage("committed entry " + entry.getIndex())
-        .that(first == null ? entry : first)
+        .that(earlier == null ? entry : earlier)
         .isEqualTo(entry);
-    restored(entry.getIndex(), digest);
+    checkState(entry.getIndex(), digest);
   }
 
-  void restored(long index, long digest) {
-    Long first = digestAt.putIfAbsent(index, digest);
-    assertWithMessage("state at " + index).that(first == null ? digest : first).isEqualTo(digest);
+  void checkState(long index, long digest) {
+    Long earlier = digestAt.putIfAbsent(index, digest);
+    assertWithMessage("state at " + index)
+        .that(earlier == null ? digest : earlier)
+        .isEqualTo(digest);
   }
 
-  void readAsked(long readId) {
-    committedWhenAsked.put(readId, highestCommitted());
+  void recordRead(long readId) {
+    committedAtRequest.put(readId, highestCommitted());
   }
 
-  /** A confirmed read sees everything that was committed before it was asked. */
-  void readConfirmed(ConfirmedRead read) {
+  /** Checks that a confirmed read sees every entry that was committed when it was requested. */
+  void checkConfirmedRead(ConfirmedRead read) {
     checks++;
     assertWithMessage("index of read " + read.readId())
         .that(read.index())
-        .isAtLeast(committedWhenAsked.get(read.readId()));
+        .isAtLeast(committedAtRequest.get(read.readId()));
   }
 }
--- a/alderyard-control/src/test/java/org/alderyard/control/raft/RaftReplica.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/raft/RaftReplica.java
@@ -11,7 +11,10 @@
 import org.alderyard.protocol.generated.raft.HardState;
 import org.alderyard.protocol.generated.raft.RaftMessage;
 
-/** A replica under test: the pure core, what it has synced, and a digest as its state. */
+/**
+ * A replica under test: the state machine without I/O, its synced data, and a digest of the applied
+ * commands as its state.
+ */
 final class RaftReplica {
   static final RaftOptions OPTIONS = new RaftOptions(150, 300, 50, 60, 4, 16, 3);
   private static final int SNAPSHOT_BYTES = 50;
@@ -19,13 +22,13 @@
   final long id;
   private final RandomGenerator random;
   private final RaftInvariants invariants;
-  private final Consumer<RaftMessage> network;
+  private final Consumer<RaftMessage> sender;
   private final List<Entry> stored = new ArrayList<>();
   private HardState hardState = HardState.getDefaultInstance();
   private Snapshot snapshot;
   private long digest;
   private long appliedIndex;
-  // Null while the replica is down.
+  // Null while the replica is not running.
   private RaftCore core;
 
   RaftReplica(
@@ -33,11 +36,11 @@
       Membership founders,
       RandomGenerator random,
       RaftInvariants invariants,
-      Consumer<RaftMessage> network) {
+      Consumer<RaftMessage> sender) {
     this.id = id;
     this.random = random;
     this.invariants = invariants;
-    this.network = network;
+    this.sender = sender;
     this.snapshot = Snapshot.founding(founders);
   }
 
@@ -50,12 +53,12 @@
     core = null;
   }
 
-  boolean isUp() {
+  boolean isRunning() {
     return core != null;
   }
 
-  boolean leads() {
-    return isUp() && core.role() == Role.LEADER;
+  boolean isLeader() {
+    return isRunning() && core.role() == Role.LEADER;
   }
 
   RaftCore core() {
@@ -70,22 +73,24 @@
     return appliedIndex;
   }
 
-  /** Performs all effects; the crash comes after the early messages and before the sync. */
-  void perform(boolean crashBeforeSync) {
-    for (int turn = 0; turn < 2; turn++) {
+  /**
+   * Performs all effects. A simulated crash happens after the early messages and before the sync.
+   */
+  void performEffects(boolean crashBeforeSync) {
+    for (int pass = 0; pass < 2; pass++) {
       Effects effects = core.drain();
-      effects.early().forEach(network);
+      effects.early().forEach(sender);
       if (crashBeforeSync && effects.needsSync()) {
         crash();
         return;
       }
       sync(effects);
       core.synced();
-      effects.afterSync().forEach(network);
+      effects.afterSync().forEach(sender);
       effects.committed().forEach(this::apply);
-      effects.reads().forEach(invariants::readConfirmed);
-      if (leads()) {
-        invariants.leads(this);
+      effects.reads().forEach(invariants::checkConfirmedRead);
+      if (isLeader()) {
+        invariants.checkLeader(this);
       }
     }
   }
@@ -105,7 +110,7 @@
       long previousTerm =
           stored.isEmpty() ? snapshot.lastTerm() : stored.get(stored.size() - 1).getTerm();
       stored.add(entry);
-      invariants.stored(entry, previousTerm);
+      invariants.checkStored(entry, previousTerm);
     }
   }
 
@@ -117,13 +122,13 @@
     if (entry.getKind() == EntryKind.COMMAND) {
       digest = digest * 31 + entry.getData().hashCode();
     }
-    invariants.applied(entry, digest);
+    invariants.checkApplied(entry, digest);
   }
 
-  private void restore(Snapshot from) {
-    appliedIndex = from.lastIndex();
-    digest = from.data().isEmpty() ? 0 : from.data().asReadOnlyByteBuffer().getLong();
-    invariants.restored(appliedIndex, digest);
+  private void restore(Snapshot source) {
+    appliedIndex = source.lastIndex();
+    digest = source.data().isEmpty() ? 0 : source.data().asReadOnlyByteBuffer().getLong();
+    invariants.checkState(appliedIndex, digest);
   }
 
   void takeSnapshot(long keepEntries) {
--- a/alderyard-control/src/test/java/org/alderyard/control/raft/RaftScheduleTest.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/raft/RaftScheduleTest.java
@@ -17,9 +17,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Random schedules: messages are lost, doubled and reordered, links cut one way, replicas crash
- * before and after a sync, disks are wiped, members come and go. Invariants are checked at each
- * step, and each schedule must settle once the faults end.
+ * Runs random schedules: messages are lost, duplicated and reordered, links fail in one direction,
+ * replicas crash before and after a sync, disks are wiped, members are added and removed. The
+ * invariants are checked at each step, and the replicas must converge once the faults end.
  */
 class RaftScheduleTest {
   private static final int SEEDS = 200;
@@ -28,7 +28,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {1, 3, 5})
-  void invariantsHoldAndReplicasAgreeInTheEnd(int founders) {
+  void invariantsHoldAndReplicasConvergeAfterFaults(int founders) {
     long steps = 0;
     long committed = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
@@ -43,7 +43,7 @@
     assertWithMessage("entries committed under faults").that(committed).isAtLeast(SEEDS * 10L);
   }
 
-  /** One schedule; every choice comes from the seed. */
+  /** A schedule whose choices all follow from the seed. */
   private static final class Schedule {
     private final SplittableRandom random;
     private final RaftCluster cluster;
@@ -59,34 +59,34 @@
 
     long run() {
       for (int step = 0; step < STEPS; step++) {
-        act(random.nextInt(1_000));
+        performStep(random.nextInt(1_000));
       }
       final long committed = cluster.invariants.highestCommitted();
       recover();
       return committed;
     }
 
-    private void act(int choice) {
+    private void performStep(int choice) {
       if (choice < 620) {
-        deliverOne();
+        deliverMessage();
       } else if (choice < 860) {
-        tickOne();
+        tickReplica();
       } else if (choice < 920) {
         anyLeader().ifPresent(cluster::propose);
       } else if (choice < 940) {
-        readOne();
+        requestRead();
       } else if (choice < 955) {
-        crashOrStart();
+        crashOrStartReplica();
       } else if (choice < 968) {
-        cutOrHeal();
+        blockOrRestoreLinks();
       } else if (choice < 980) {
-        snapshotOne();
+        takeSnapshotOnReplica();
       } else if (choice < 994) {
         changeMembers();
       } else if (choice < 998) {
         handOver();
       } else {
-        wipeOne();
+        wipeDisk();
       }
     }
 
@@ -94,73 +94,77 @@
       return list.get(random.nextInt(list.size()));
     }
 
-    /** Takes a message from anywhere near the head of the pipe; some are lost, some come twice. */
-    private void deliverOne() {
-      if (cluster.pipe.isEmpty()) {
-        tickOne();
+    /**
+     * Delivers the first queued message or, sometimes, any other one. Some messages are lost and
+     * some are delivered twice.
+     */
+    private void deliverMessage() {
+      if (cluster.messages.isEmpty()) {
+        tickReplica();
         return;
       }
-      int reach = random.nextInt(10) == 0 ? cluster.pipe.size() : 1;
-      RaftMessage message = cluster.pipe.remove(random.nextInt(reach));
-      int fate = random.nextInt(100);
-      if (fate < 4) {
+      int candidateCount = random.nextInt(10) == 0 ? cluster.messages.size() : 1;
+      RaftMessage message = cluster.messages.remove(random.nextInt(candidateCount));
+      int faultRoll = random.nextInt(100);
+      if (faultRoll < 4) {
         return;
       }
-      if (fate < 8) {
-        cluster.pipe.add(message);
+      if (faultRoll < 8) {
+        cluster.messages.add(message);
       }
-      cluster.deliver(message, fate == 99);
+      cluster.deliver(message, faultRoll == 99);
     }
 
-    private void tickOne() {
-      cluster.advance(random.nextInt(500) == 0 ? 1_000 : random.nextInt(12));
-      List<RaftReplica> up = List.copyOf(cluster.up());
-      if (!up.isEmpty()) {
-        cluster.tick(pick(up), random.nextInt(200) == 0);
+    private void tickReplica() {
+      cluster.advanceClock(random.nextInt(500) == 0 ? 1_000 : random.nextInt(12));
+      List<RaftReplica> running = List.copyOf(cluster.runningReplicas());
+      if (!running.isEmpty()) {
+        cluster.tick(pick(running), random.nextInt(200) == 0);
       }
     }
 
-    /** Returns a replica that believes it leads; it may have been replaced meanwhile. */
+    /** Returns a replica that is in the leader role; it may have been replaced meanwhile. */
     private Optional<RaftReplica> anyLeader() {
-      List<RaftReplica> leaders = cluster.up().stream().filter(RaftReplica::leads).toList();
+      List<RaftReplica> leaders =
+          cluster.runningReplicas().stream().filter(RaftReplica::isLeader).toList();
       return leaders.isEmpty() ? Optional.empty() : Optional.of(pick(leaders));
     }
 
-    private void readOne() {
+    private void requestRead() {
       anyLeader()
           .ifPresent(
               leader -> {
                 nextReadId++;
-                cluster.invariants.readAsked(nextReadId);
+                cluster.invariants.recordRead(nextReadId);
                 leader.core().read(nextReadId);
-                leader.perform(false);
+                leader.performEffects(false);
               });
     }
 
-    private void crashOrStart() {
+    private void crashOrStartReplica() {
       RaftReplica replica = pick(List.copyOf(cluster.replicas.values()));
-      if (replica.isUp()) {
+      if (replica.isRunning()) {
         replica.crash();
       } else if (!wiped.contains(replica.id)) {
         replica.start(cluster.nowMillis());
       }
     }
 
-    private void cutOrHeal() {
+    private void blockOrRestoreLinks() {
       List<Long> ids = List.copyOf(cluster.replicas.keySet());
       if (random.nextInt(3) == 0) {
-        cluster.heal();
+        cluster.restoreLinks();
       } else if (random.nextInt(4) == 0) {
         cluster.isolate(pick(ids));
       } else {
-        cluster.cut(pick(ids), pick(ids));
+        cluster.blockLink(pick(ids), pick(ids));
       }
     }
 
-    private void snapshotOne() {
-      List<RaftReplica> up = List.copyOf(cluster.up());
-      if (!up.isEmpty()) {
-        pick(up).takeSnapshot(random.nextInt(4));
+    private void takeSnapshotOnReplica() {
+      List<RaftReplica> running = List.copyOf(cluster.runningReplicas());
+      if (!running.isEmpty()) {
+        pick(running).takeSnapshot(random.nextInt(4));
       }
     }
 
@@ -169,7 +173,7 @@
           .ifPresent(
               leader -> {
                 leader.core().handOver(pick(List.copyOf(cluster.replicas.keySet())));
-                leader.perform(false);
+                leader.performEffects(false);
               });
     }
 
@@ -178,28 +182,29 @@
           .ifPresent(
               leader -> {
                 leader.core().change(randomChange(leader.core().membership()));
-                leader.perform(false);
+                leader.performEffects(false);
               });
     }
 
-    private MembershipChange randomChange(Membership now) {
-      List<Long> dead = now.replicaIds().stream().filter(wiped::contains).toList();
-      if (!dead.isEmpty()) {
-        return new Remove(dead.get(0));
+    private MembershipChange randomChange(Membership membership) {
+      List<Long> wipedMembers = membership.replicaIds().stream().filter(wiped::contains).toList();
+      if (!wipedMembers.isEmpty()) {
+        return new Remove(wipedMembers.get(0));
       }
-      List<Long> learners = now.replicaIds().stream().filter(id -> !now.isVoter(id)).toList();
+      List<Long> learners =
+          membership.replicaIds().stream().filter(id -> !membership.isVoter(id)).toList();
       if (!learners.isEmpty() && random.nextInt(3) > 0) {
         return new Promote(pick(learners));
       }
-      if (now.voters().size() > 2 && random.nextInt(2) == 0) {
-        return new Remove(pick(List.copyOf(now.replicaIds())));
+      if (membership.voters().size() > 2 && random.nextInt(2) == 0) {
+        return new Remove(pick(List.copyOf(membership.replicaIds())));
       }
-      List<Long> outside =
+      List<Long> nonMembers =
           cluster.replicas.keySet().stream()
-              .filter(id -> now.member(id).isEmpty() && !wiped.contains(id))
+              .filter(id -> membership.member(id).isEmpty() && !wiped.contains(id))
               .toList();
-      if (!outside.isEmpty()) {
-        return new AddLearner(RaftCluster.member(pick(outside)));
+      if (!nonMembers.isEmpty()) {
+        return new AddLearner(RaftCluster.member(pick(nonMembers)));
       }
       if (cluster.replicas.size() >= MAX_REPLICAS) {
         return new Remove(0);
@@ -208,43 +213,48 @@
       return new AddLearner(RaftCluster.member(added.id));
     }
 
-    /** Loses a disk for good, where the voters that are left can still be a majority. */
-    private void wipeOne() {
-      boolean spare =
-          cluster.up().stream()
+    /** Wipes a disk permanently if the remaining voters can still form a majority. */
+    private void wipeDisk() {
+      boolean canLoseVoter =
+          cluster.runningReplicas().stream()
               .map(replica -> replica.core().membership())
               .allMatch(
-                  now ->
-                      now.voters().size() >= 3 && now.voters().stream().noneMatch(wiped::contains));
-      if (!spare || cluster.up().size() < cluster.replicas.size() - wiped.size()) {
+                  membership ->
+                      membership.voters().size() >= 3
+                          && membership.voters().stream().noneMatch(wiped::contains));
+      if (!canLoseVoter
+          || cluster.runningReplicas().size() < cluster.replicas.size() - wiped.size()) {
         return;
       }
-      RaftReplica lost = pick(List.copyOf(cluster.up()));
-      lost.crash();
-      wiped.add(lost.id);
+      RaftReplica wipedReplica = pick(List.copyOf(cluster.runningReplicas()));
+      wipedReplica.crash();
+      wiped.add(wipedReplica.id);
     }
 
-    /** Ends all faults; then a command commits and every member that lives holds the same. */
+    /**
+     * Ends all faults and checks that a command is committed and that all members with a disk reach
+     * the same state.
+     */
     private void recover() {
-      cluster.heal();
+      cluster.restoreLinks();
       for (RaftReplica replica : cluster.replicas.values()) {
-        if (!replica.isUp() && !wiped.contains(replica.id)) {
+        if (!replica.isRunning() && !wiped.contains(replica.id)) {
           replica.start(cluster.nowMillis());
         }
       }
-      RaftReplica leader = cluster.settle();
-      final long before = cluster.invariants.highestCommitted();
+      RaftReplica leader = cluster.runUntilConverged();
+      final long committedBefore = cluster.invariants.highestCommitted();
       if (!cluster.propose(leader)) {
-        // A hand-over that began under faults pauses proposals, for one election timeout at most.
+        // A hand-over that began under faults blocks proposals for at most one election timeout.
         cluster.run(RaftReplica.OPTIONS.electionTimeoutMaxMillis());
-        leader = cluster.settle();
+        leader = cluster.runUntilConverged();
         assertThat(cluster.propose(leader)).isTrue();
       }
-      RaftReplica last = cluster.settle();
-      assertThat(cluster.invariants.highestCommitted()).isGreaterThan(before);
-      for (long id : last.core().membership().replicaIds()) {
+      RaftReplica finalLeader = cluster.runUntilConverged();
+      assertThat(cluster.invariants.highestCommitted()).isGreaterThan(committedBefore);
+      for (long id : finalLeader.core().membership().replicaIds()) {
         if (!wiped.contains(id)) {
-          assertThat(cluster.replica(id).digest()).isEqualTo(last.digest());
+          assertThat(cluster.replica(id).digest()).isEqualTo(finalLeader.digest());
         }
       }
       assertThat(leader.core().change(new Remove(-1))).isNotEqualTo(Verdict.ACCEPTED);
