--- a/alderyard-control/src/main/java/org/alderyard/control/service/RegistryService.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/service/RegistryService.java
@@ -17,7 +17,7 @@
 import org.alderyard.common.view.View;
 import org.alderyard.common.view.ViewVersion;
 import org.alderyard.control.log.ControlLog;
-import org.alderyard.control.state.AnnouncementRule;
+import org.alderyard.control.state.AnnouncementFilter;
 import org.alderyard.control.state.ControlState;
 import org.alderyard.protocol.generated.control.AnnounceReply;
 import org.alderyard.protocol.generated.control.AnnounceRequest;
@@ -97,7 +97,7 @@
       Announcement announcement = bounded(received);
       ServerState server = StateCodec.server(announcement.getServer());
       Optional<ServerState> known = state.view().server(server.id());
-      if (known.isPresent() && AnnouncementRule.late(announcement.getServer(), known.get())) {
+      if (known.isPresent() && AnnouncementFilter.isStale(announcement.getServer(), known.get())) {
         log.info(
             "event=announcement-ignored server={} reason=late incarnation={} known={} status={}",
             server.id(),
@@ -176,7 +176,7 @@
     boolean newRole =
         announcement.getReportsRole()
             && !state
-                .reportedPrimary(announced.id().value())
+                .reportsPrimaryRole(announced.id().value())
                 .equals(Optional.of(announcement.getPrimary()));
     return firstPrimary && !announcement.getReportsRole()
         || newRole
--- a/alderyard-control/src/main/java/org/alderyard/control/state/ConfigurationRules.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/state/ConfigurationRules.java
@@ -12,20 +12,26 @@
 import org.alderyard.protocol.generated.state.Database;
 import org.alderyard.protocol.generated.state.GroupLimits;
 
-/** What a configuration of sessions must keep to, whatever was in force before it. */
+/** Validates a session configuration independently of the one in force. */
 public final class ConfigurationRules {
 
-  /** What else a command of the log holds: its kind and the time at which it was proposed. */
+  /**
+   * Size reserved for the other fields of a log command: its kind and the time at which it was
+   * proposed.
+   */
   private static final int COMMAND_OVERHEAD_BYTES = 1_024;
 
-  /** The largest configuration that the log takes, with the text that it was read from. */
+  /**
+   * Maximum serialized size of a configuration, including its source text, that fits into a log
+   * command.
+   */
   static final int MAX_BYTES =
       ReplicatedLogOptions.DEFAULT_MAX_COMMAND_BYTES - COMMAND_OVERHEAD_BYTES;
 
   private ConfigurationRules() {}
 
   /**
-   * Checks a configuration.
+   * Validates a configuration.
    *
    * @throws AlderyardException with {@code CONFIGURATION_INVALID} and all faults, or with {@code
    *     REQUEST_TOO_LARGE}
@@ -34,39 +40,40 @@
     if (configuration.getSerializedSize() > MAX_BYTES) {
       throw AlderyardException.notRun(
           ErrorCode.REQUEST_TOO_LARGE,
-          "configuration %d has %d bytes with its text; accepted are up to %d"
+          "configuration %d has %d bytes including its source text; the maximum is %d bytes"
               .formatted(configuration.getNumber(), configuration.getSerializedSize(), MAX_BYTES));
     }
     List<FieldFault> faults = faults(configuration);
     if (!faults.isEmpty()) {
       throw AlderyardException.notRun(
           ErrorCode.CONFIGURATION_INVALID,
-          "configuration " + configuration.getNumber() + " has faults: " + faults);
+          "configuration " + configuration.getNumber() + " is invalid: " + faults);
     }
   }
 
-  /** Returns all faults. */
+  /** Returns all faults of a configuration; empty when it is valid. The size is not checked. */
   public static List<FieldFault> faults(Configuration configuration) {
     List<FieldFault> faults = new ArrayList<>();
     if (configuration.getNumber() <= 0) {
       String number = Long.toString(configuration.getNumber());
-      faults.add(new FieldFault("configuration", "number", number, "a number from 1"));
+      faults.add(new FieldFault("configuration", "number", number, "a number of at least 1"));
     }
     Set<String> groups = new HashSet<>();
     for (GroupLimits group : configuration.getGroupsList()) {
       if (!groups.add(group.getId())) {
-        faults.add(new FieldFault("group/" + group.getId(), "id", group.getId(), "unique names"));
+        faults.add(
+            new FieldFault("group/" + group.getId(), "id", group.getId(), "a unique group id"));
       }
     }
-    Set<String> places = new HashSet<>();
+    Set<String> namesWithScope = new HashSet<>();
     for (Database database : configuration.getDatabasesList()) {
-      addFaults(database, groups, places, faults);
+      checkDatabase(database, groups, namesWithScope, faults);
     }
     return faults;
   }
 
-  private static void addFaults(
-      Database database, Set<String> groups, Set<String> places, List<FieldFault> faults) {
+  private static void checkDatabase(
+      Database database, Set<String> groups, Set<String> namesWithScope, List<FieldFault> faults) {
     String object = "database/" + database.getName();
     if (database.getName().isEmpty()) {
       faults.add(new FieldFault(object, "name", "", "a name"));
@@ -75,9 +82,10 @@
       faults.add(
           new FieldFault(object, "group", database.getGroup(), "a group of this configuration"));
     }
-    if (!places.add(database.getName() + "\n" + database.getScope())) {
+    if (!namesWithScope.add(database.getName() + "\n" + database.getScope())) {
       faults.add(
-          new FieldFault(object, "scope", database.getScope(), "one database a name and scope"));
+          new FieldFault(
+              object, "scope", database.getScope(), "a unique combination of name and scope"));
     }
     if (database.getStatementTimeoutMillis() <= 0) {
       String millis = Integer.toString(database.getStatementTimeoutMillis());
--- a/alderyard-control/src/main/java/org/alderyard/control/state/ControlState.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/state/ControlState.java
@@ -34,10 +34,10 @@
 import org.alderyard.protocol.view.ViewCodec;
 
 /**
- * The control state that committed commands build; the same commands give the same state.
+ * Deterministic state machine of the control state: the same commands give the same state.
  *
- * <p>One lock guards all tables; the listener is called under it, so that it sees the views in
- * order.
+ * <p>One lock guards all tables. The listener is called with the lock held, so it receives the
+ * views in order.
  */
 public final class ControlState implements StateMachine {
   private final Consumer<ViewChange> onChange;
@@ -48,24 +48,31 @@
   private final ServerRegistry servers = new ServerRegistry();
   private final HostRegistry hosts = new HostRegistry();
 
-  /** Creates the empty state; the listener gets each new view, in order. */
+  /**
+   * Creates an empty state.
+   *
+   * @param onChange receives each new view, in order, with the lock held
+   */
   public ControlState(Consumer<ViewChange> onChange) {
-    this(onChange, FailoverHandler.NONE, TicketTable.DEFAULT_LIMIT);
+    this(onChange, FailoverHandler.NONE, TicketTable.DEFAULT_MAX_TICKETS);
   }
 
-  /** Creates the empty state with a handler of failover steps. */
+  /** Creates an empty state that passes failover steps to the given handler. */
   public ControlState(Consumer<ViewChange> onChange, FailoverHandler failovers) {
-    this(onChange, failovers, TicketTable.DEFAULT_LIMIT);
+    this(onChange, failovers, TicketTable.DEFAULT_MAX_TICKETS);
   }
 
-  /** All control hosts must remember the same count of numbers. */
-  ControlState(Consumer<ViewChange> onChange, FailoverHandler failovers, int rememberedTickets) {
+  /**
+   * Creates an empty state with a given size of the ticket table, which must be the same on all
+   * control hosts.
+   */
+  ControlState(Consumer<ViewChange> onChange, FailoverHandler failovers, int maxTickets) {
     this.onChange = onChange;
     this.failovers = failovers;
-    this.tickets = new TicketTable(rememberedTickets);
+    this.tickets = new TicketTable(maxTickets);
   }
 
-  /** Returns the current view. */
+  /** Returns the current view; doesn't take the lock. */
   public View view() {
     return views.view();
   }
@@ -75,32 +82,34 @@
     return new ViewChange(views.view(), views.chainHash(), Optional.empty());
   }
 
-  /** Returns the answer that a ticket got, if its number was accepted. */
+  /** Returns the answer to an accepted ticket; empty when the number is not in the ticket table. */
   public synchronized Optional<TicketAnswer> ticket(long number) {
     return tickets.find(number);
   }
 
-  /** Returns the answers to the highest numbers, the highest first. */
+  /** Returns the answers to the highest ticket numbers, in descending order. */
   public synchronized List<TicketAnswer> newestTickets(int count) {
-    return tickets.newest(count);
+    return tickets.highestNumbers(count);
   }
 
-  /** Returns the highest number that is no longer remembered. */
+  /**
+   * Returns the floor: ticket numbers up to it are no longer in the table and are never applied.
+   */
   public synchronized long ticketFloor() {
     return tickets.floor();
   }
 
-  /** Returns how many numbers are remembered. */
+  /** Returns the number of tickets in the table. */
   public synchronized int ticketsRemembered() {
     return tickets.size();
   }
 
-  /** Returns what a host registered, before the operators' policy is applied. */
+  /** Returns the registration of a host, without the restrictions of the operators' host policy. */
   public synchronized Optional<Host> hostRegistration(String host) {
     return hosts.registration(host);
   }
 
-  /** Returns the lease that a server asked for, 0 when it is not known. */
+  /** Returns the lease duration that a server requested, or 0 for an unknown server. */
   public synchronized int serverLeaseMillis(String server) {
     return servers.leaseMillis(server);
   }
@@ -112,23 +121,23 @@
       command = Command.parseFrom(bytes);
     } catch (InvalidProtocolBufferException damaged) {
       throw AlderyardException.notRun(
-          ErrorCode.STORAGE_DAMAGED, "log entry " + index + " can't be read");
+          ErrorCode.STORAGE_DAMAGED, "log entry " + index + " can't be parsed");
     }
     return switch (command.getCommandCase()) {
       case TICKET -> applyTicket(index, command.getTicket()).toByteString();
-      case ANNOUNCEMENT -> change(index, servers.announce(command.getAnnouncement(), view()));
-      case SERVER_EXPIRY -> change(index, servers.expire(command.getServerExpiry(), view()));
+      case ANNOUNCEMENT -> applyChanges(index, servers.announce(command.getAnnouncement(), view()));
+      case SERVER_EXPIRY -> applyChanges(index, servers.expire(command.getServerExpiry(), view()));
       case HOST_REGISTRATION ->
-          change(index, hosts.register(command.getHostRegistration().getHost()));
-      case HOST_EXPIRY -> change(index, hosts.expire(command.getHostExpiry()));
-      case DRAIN_HOST -> drain(index, command.getDrainHost()).toByteString();
+          applyChanges(index, hosts.register(command.getHostRegistration().getHost()));
+      case HOST_EXPIRY -> applyChanges(index, hosts.expire(command.getHostExpiry()));
+      case DRAIN_HOST -> applyDrain(index, command.getDrainHost()).toByteString();
       case FAILOVER_STEP -> {
         var applied = failovers.apply(index, command.getFailoverStep(), view());
-        change(index, applied.changed());
+        applyChanges(index, applied.changed());
         yield applied.answer();
       }
       case REPLACE_CONFIGURATION ->
-          replaceConfiguration(index, command.getReplaceConfiguration()).toByteString();
+          applyConfiguration(index, command.getReplaceConfiguration()).toByteString();
       case PROMOTION_INTENT ->
           PromotionIntentReply.newBuilder().setFencingToken(index).build().toByteString();
       case COMMAND_NOT_SET -> ByteString.EMPTY;
@@ -136,59 +145,62 @@
   }
 
   private TicketAnswer applyTicket(long index, Ticket ticket) {
-    Optional<TicketAnswer> earlier = tickets.earlier(ticket.getNumber(), ticket.getContentHash());
-    if (earlier.isPresent()) {
-      return earlier.get();
+    Optional<TicketAnswer> previous =
+        tickets.findPreviousAnswer(ticket.getNumber(), ticket.getContentHash());
+    if (previous.isPresent()) {
+      return previous.get();
     }
     TicketAnswer.Builder answer =
         TicketAnswer.newBuilder()
             .setNumber(ticket.getNumber())
             .setContentHash(ticket.getContentHash());
-    List<FieldFault> faults = TicketRules.check(view(), hosts::known, ticket.getObjectsList());
+    List<FieldFault> faults = TicketRules.check(view(), hosts::isKnown, ticket.getObjectsList());
     if (!faults.isEmpty()) {
-      faults.forEach(fault -> answer.addFaults(message(fault)));
+      faults.forEach(fault -> answer.addFaults(faultMessage(fault)));
       return answer.setVerdict(TicketVerdict.INVALID).build();
     }
     List<ObjectState> changed = new ArrayList<>();
-    ticket.getObjectsList().forEach(object -> changed.addAll(effect(object)));
-    change(index, changed);
+    ticket.getObjectsList().forEach(object -> changed.addAll(applyObject(object)));
+    applyChanges(index, changed);
     ticket.getObjectsList().forEach(object -> answer.addObjects(TicketObjects.name(object)));
     answer.setAcceptedVersion(StateCodec.versionMessage(view().version()));
-    tickets.accept(answer.build());
+    tickets.add(answer.build());
     return answer.build();
   }
 
   /**
-   * The highest number counts. A lower one is answered like one that was taken and overtaken since,
-   * which is what it is when its first answer was lost.
+   * Applies a configuration with a number greater than the current one.
+   *
+   * <p>A lower number is acknowledged without effect, like a configuration that was applied and
+   * then replaced: the request may be a resend whose first reply was lost.
    */
-  private ReplaceConfigurationReply replaceConfiguration(long index, Configuration wanted) {
+  private ReplaceConfigurationReply applyConfiguration(long index, Configuration requested) {
     Optional<ConfigurationState> current = view().configuration();
     long number = current.map(ConfigurationState::number).orElse(0L);
-    if (wanted.getNumber() <= number) {
+    if (requested.getNumber() <= number) {
       boolean conflict =
-          wanted.getNumber() == number
+          requested.getNumber() == number
               && !current
                   .orElseThrow()
                   .contentHash()
-                  .equals(Bytes.of(wanted.getContentHash().toByteArray()));
+                  .equals(Bytes.of(requested.getContentHash().toByteArray()));
       return ReplaceConfigurationReply.newBuilder().setNumber(number).setConflict(conflict).build();
     }
-    ConfigurationState next = StateCodec.configuration(wanted);
+    ConfigurationState next = StateCodec.configuration(requested);
     List<ObjectState> changed = new ArrayList<>();
-    changed.add(ObjectState.newBuilder().setConfiguration(wanted).build());
+    changed.add(ObjectState.newBuilder().setConfiguration(requested).build());
     next.connectionsPerServer()
-        .forEach((group, connections) -> changed.add(limitedGroup(group, connections)));
+        .forEach((group, connections) -> changed.add(withConnectionLimit(group, connections)));
     current.stream()
         .flatMap(before -> before.connectionsPerServer().keySet().stream())
         .filter(group -> !next.connectionsPerServer().containsKey(group))
         .forEach(
             group -> changed.add(ObjectState.newBuilder().setRemovedGroup(group.value()).build()));
-    change(index, changed);
-    return ReplaceConfigurationReply.newBuilder().setNumber(wanted.getNumber()).build();
+    applyChanges(index, changed);
+    return ReplaceConfigurationReply.newBuilder().setNumber(requested.getNumber()).build();
   }
 
-  private ObjectState limitedGroup(GroupId id, int connections) {
+  private ObjectState withConnectionLimit(GroupId id, int connections) {
     GroupState group =
         view()
             .group(id)
@@ -207,12 +219,15 @@
         .build();
   }
 
-  /** Returns what a server that reports its role said last; empty for other servers. */
-  public synchronized Optional<Boolean> reportedPrimary(String server) {
-    return servers.reportedPrimary(server);
+  /**
+   * Returns whether the server last reported that it is the primary; empty for servers that don't
+   * report their role.
+   */
+  public synchronized Optional<Boolean> reportsPrimaryRole(String server) {
+    return servers.reportsPrimaryRole(server);
   }
 
-  private static TicketFault message(FieldFault fault) {
+  private static TicketFault faultMessage(FieldFault fault) {
     return TicketFault.newBuilder()
         .setObject(fault.object())
         .setField(fault.field())
@@ -221,55 +236,61 @@
         .build();
   }
 
-  private List<ObjectState> effect(ObjectState object) {
+  private List<ObjectState> applyObject(ObjectState object) {
     return switch (object.getObjectCase()) {
-      case GROUP -> List.of(keepRunningState(object.getGroup()));
+      case GROUP -> List.of(withTermAndPrimary(object.getGroup()));
       case HOST_POLICY -> hosts.setPolicy(object.getHostPolicy());
       case REMOVED_HOST_POLICY -> hosts.removePolicy(object.getRemovedHostPolicy());
       case REMOVED_SERVER -> {
-        servers.forget(object.getRemovedServer());
+        servers.remove(object.getRemovedServer());
         yield List.of(object);
       }
       default -> List.of(object);
     };
   }
 
-  /** A ticket says what a group is allowed; term and primary are the failover director's. */
-  private ObjectState keepRunningState(Group wanted) {
-    Group.Builder group = wanted.toBuilder();
+  /**
+   * Returns the group with its current term, primary and term history. A ticket sets only the
+   * limits of a group; the failover director manages its term and primary.
+   */
+  private ObjectState withTermAndPrimary(Group requested) {
+    Group.Builder group = requested.toBuilder();
     view()
-        .group(new GroupId(wanted.getId()))
+        .group(new GroupId(requested.getId()))
         .map(StateCodec::groupMessage)
         .ifPresent(
-            running ->
+            current ->
                 group
-                    .setTerm(running.getTerm())
-                    .setPrimary(running.getPrimary())
-                    .addAllTermHistory(running.getTermHistoryList()));
+                    .setTerm(current.getTerm())
+                    .setPrimary(current.getPrimary())
+                    .addAllTermHistory(current.getTermHistoryList()));
     return ObjectState.newBuilder().setGroup(group).build();
   }
 
-  private DrainHostReply drain(long index, DrainHostRequest request) {
+  private DrainHostReply applyDrain(long index, DrainHostRequest request) {
     DrainHostReply.Builder reply = DrainHostReply.newBuilder();
-    if (hosts.known(request.getHost())) {
-      HostPolicy allowed =
-          hosts.policy(request.getHost()).orElseGet(() -> allowAll(request.getHost())).toBuilder()
+    if (hosts.isKnown(request.getHost())) {
+      HostPolicy policy =
+          hosts
+              .policy(request.getHost())
+              .orElseGet(() -> unrestrictedPolicy(request.getHost()))
+              .toBuilder()
               .setDraining(request.getDraining())
               .build();
-      change(index, hosts.setPolicy(allowed));
+      applyChanges(index, hosts.setPolicy(policy));
     } else {
       FieldFault fault =
           new FieldFault("host/" + request.getHost(), "name", request.getHost(), "a known host");
-      reply.addFaults(message(fault));
+      reply.addFaults(faultMessage(fault));
     }
     return reply.setVersion(StateCodec.versionMessage(view().version())).build();
   }
 
-  private static HostPolicy allowAll(String host) {
+  private static HostPolicy unrestrictedPolicy(String host) {
     return HostPolicy.newBuilder().setId(host).setProxy(true).setControl(true).build();
   }
 
-  private ByteString change(long index, List<ObjectState> objects) {
+  private ByteString applyChanges(long index, List<ObjectState> objects) {
     views
         .apply(index, objects)
         .ifPresent(
@@ -300,7 +321,7 @@
       snapshot = ControlSnapshot.parseFrom(bytes);
     } catch (InvalidProtocolBufferException damaged) {
       throw AlderyardException.notRun(
-          ErrorCode.STORAGE_DAMAGED, "the snapshot at " + index + " can't be read");
+          ErrorCode.STORAGE_DAMAGED, "the snapshot at index " + index + " can't be parsed");
     }
     views.restore(snapshot.getView(), snapshot.getChainHash());
     tickets.restore(snapshot.getTicketsList(), snapshot.getTicketFloor());
--- a/alderyard-control/src/main/java/org/alderyard/control/state/FailoverHandler.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/state/FailoverHandler.java
@@ -5,9 +5,9 @@
 import org.alderyard.common.view.View;
 import org.alderyard.protocol.generated.state.ObjectState;
 
-/** Applies the committed steps of failovers; called from one thread at a time, in log order. */
+/** Applies committed failover steps. Calls come in log order and never concurrently. */
 public interface FailoverHandler {
-  /** A handler that ignores every step. */
+  /** Ignores every step and has an empty snapshot. */
   FailoverHandler NONE =
       new FailoverHandler() {
         @Override
@@ -22,30 +22,33 @@
 
         @Override
         public void restore(ByteString snapshot) {
-          // Holds nothing.
+          // No state to restore.
         }
       };
 
   /**
-   * What a step did.
+   * Result of applying a step.
    *
-   * @param changed the whole new state of each object that it changed
-   * @param answer the answer for the proposer
+   * @param changed the complete new state of each object that the step changed
+   * @param answer the reply to the host that proposed the step
    */
   record Applied(List<ObjectState> changed, ByteString answer) {
 
-    /** Copies. */
+    /** Copies the list of changed objects. */
     public Applied {
       changed = List.copyOf(changed);
     }
   }
 
-  /** Applies a step; the same steps give the same result on every host. */
+  /**
+   * Applies a step. The result must be deterministic: the same steps give the same result on every
+   * host.
+   */
   Applied apply(long index, ByteString step, View view);
 
-  /** Returns what the handler remembers, as a part of the snapshot of the control state. */
+  /** Returns the handler's state, which is stored as a part of the control state's snapshot. */
   ByteString snapshot();
 
-  /** Replaces what the handler remembers. */
+  /** Replaces the handler's state by the state of a snapshot. */
   void restore(ByteString snapshot);
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/state/HostRegistry.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/state/HostRegistry.java
@@ -12,81 +12,87 @@
 import org.alderyard.protocol.generated.state.HostPolicy;
 import org.alderyard.protocol.generated.state.ObjectState;
 
-/** What hosts registered, what operators allow them, and which incarnations are gone. */
+/**
+ * Registrations of hosts, the operators' host policies, and the last incarnations of removed hosts.
+ */
 final class HostRegistry {
-  /** Hosts that are gone and whose incarnation is remembered. */
-  static final int DEAD_LIMIT = 10_000;
+  /** Maximum number of removed hosts whose last incarnation is kept. */
+  static final int MAX_REMOVED_HOSTS = 10_000;
 
   private final Map<String, Host> registrations = new TreeMap<>();
   private final Map<String, HostPolicy> policies = new TreeMap<>();
-  // In the order in which they went.
-  private final Map<String, Long> dead = new LinkedHashMap<>();
+  // Last incarnations of removed hosts, in order of removal.
+  private final Map<String, Long> removedIncarnations = new LinkedHashMap<>();
 
   /**
-   * Registers a host.
+   * Registers a host and returns the changed objects. An incarnation below the last known one is
+   * ignored.
    *
-   * <p>Guards against a late registration of an earlier process under the same name: it would put
-   * back addresses at which nobody listens. An incarnation below the last known one is ignored.
+   * <p>A delayed registration of an earlier process of the same host would otherwise restore
+   * addresses at which no process listens.
    */
   List<ObjectState> register(Host host) {
     if (host.getIncarnation() < lastIncarnation(host.getId())) {
       return List.of();
     }
-    dead.remove(host.getId());
+    removedIncarnations.remove(host.getId());
     registrations.put(host.getId(), host);
-    return List.of(effective(host));
+    return List.of(withPolicy(host));
   }
 
   private long lastIncarnation(String id) {
     Host known = registrations.get(id);
-    return known == null ? dead.getOrDefault(id, 0L) : known.getIncarnation();
+    return known == null ? removedIncarnations.getOrDefault(id, 0L) : known.getIncarnation();
   }
 
-  /** Takes a host out; an expiry of another incarnation than the registered one is ignored. */
+  /**
+   * Removes a host and returns the changed objects. An expiry for an incarnation other than the
+   * registered one is ignored.
+   */
   List<ObjectState> expire(HostExpiry expiry) {
     Host known = registrations.get(expiry.getHost());
     if (known == null || known.getIncarnation() != expiry.getIncarnation()) {
       return List.of();
     }
     registrations.remove(expiry.getHost());
-    dead.put(expiry.getHost(), expiry.getIncarnation());
-    if (dead.size() > DEAD_LIMIT) {
-      dead.remove(dead.keySet().iterator().next());
+    removedIncarnations.put(expiry.getHost(), expiry.getIncarnation());
+    if (removedIncarnations.size() > MAX_REMOVED_HOSTS) {
+      removedIncarnations.remove(removedIncarnations.keySet().iterator().next());
     }
     return List.of(ObjectState.newBuilder().setRemovedHost(expiry.getHost()).build());
   }
 
-  /** Sets what a host may do; it holds for later incarnations too. */
+  /** Sets the policy of a host, which also applies to its later incarnations. */
   List<ObjectState> setPolicy(HostPolicy policy) {
     policies.put(policy.getId(), policy);
-    return refresh(policy.getId());
+    return hostUpdate(policy.getId());
   }
 
-  /** Lets a host do what it registered for. */
+  /** Removes the policy of a host, so that its registration applies without restrictions. */
   List<ObjectState> removePolicy(String id) {
     policies.remove(id);
-    return refresh(id);
+    return hostUpdate(id);
   }
 
-  private List<ObjectState> refresh(String id) {
+  private List<ObjectState> hostUpdate(String id) {
     Host known = registrations.get(id);
-    return known == null ? List.of() : List.of(effective(known));
+    return known == null ? List.of() : List.of(withPolicy(known));
   }
 
-  private ObjectState effective(Host host) {
+  private ObjectState withPolicy(Host host) {
     HostPolicy policy = policies.get(host.getId());
     if (policy == null) {
       return ObjectState.newBuilder().setHost(host).build();
     }
-    Host.Builder allowed =
+    Host.Builder restricted =
         host.toBuilder()
             .setProxy(host.getProxy() && policy.getProxy())
             .setControl(host.getControl() && policy.getControl())
             .setDraining(host.getDraining() || policy.getDraining());
-    return ObjectState.newBuilder().setHost(allowed).build();
+    return ObjectState.newBuilder().setHost(restricted).build();
   }
 
-  boolean known(String id) {
+  boolean isKnown(String id) {
     return registrations.containsKey(id) || policies.containsKey(id);
   }
 
@@ -100,7 +106,7 @@
 
   void store(ControlSnapshot.Builder snapshot) {
     snapshot.addAllHostPolicies(policies.values()).addAllRegistrations(registrations.values());
-    dead.forEach(
+    removedIncarnations.forEach(
         (id, incarnation) ->
             snapshot.addDeadHosts(DeadHost.newBuilder().setId(id).setIncarnation(incarnation)));
   }
@@ -108,9 +114,11 @@
   void restore(ControlSnapshot snapshot) {
     registrations.clear();
     policies.clear();
-    dead.clear();
+    removedIncarnations.clear();
     snapshot.getRegistrationsList().forEach(host -> registrations.put(host.getId(), host));
     snapshot.getHostPoliciesList().forEach(policy -> policies.put(policy.getId(), policy));
-    snapshot.getDeadHostsList().forEach(host -> dead.put(host.getId(), host.getIncarnation()));
+    snapshot
+        .getDeadHostsList()
+        .forEach(host -> removedIncarnations.put(host.getId(), host.getIncarnation()));
   }
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/state/ServerRegistry.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/state/ServerRegistry.java
@@ -22,49 +22,57 @@
 import org.alderyard.protocol.generated.state.Status;
 import org.alderyard.protocol.view.StateCodec;
 
-/** What backend servers announced; the view holds the servers themselves. */
+/**
+ * Announced data of backend servers that is not in the view: leases, reported roles and the servers
+ * whose lease has ended.
+ */
 final class ServerRegistry {
-  /** Servers without a lease that stay in the view, so that their old incarnation is known. */
-  static final int DEAD_LIMIT = 1_000;
+  /**
+   * Maximum number of servers without a lease that stay in the view. Their last incarnation is kept
+   * to detect stale announcements.
+   */
+  static final int MAX_ENDED_SERVERS = 1_000;
 
   private final Map<String, Integer> leaseMillis = new TreeMap<>();
-  // In the order in which their leases ended.
-  private final Set<String> dead = new LinkedHashSet<>();
-  // Whether a server that reports its role is a primary, by its last word.
-  private final Map<String, Boolean> reportedPrimary = new TreeMap<>();
+  // Servers without a lease, in the order in which their leases ended.
+  private final Set<String> endedServers = new LinkedHashSet<>();
+  // Whether a server last reported that it is the primary; holds only servers that report their
+  // role.
+  private final Map<String, Boolean> reportsPrimaryRole = new TreeMap<>();
 
-  /** Returns what an announcement changes. */
+  /** Records an announcement and returns the objects that it changes. */
   List<ObjectState> announce(Announcement announcement, View view) {
     Server announced =
         announcement.getServer().toBuilder()
             .setStatus(announcement.getLeaving() ? Status.LEAVING : Status.ACTIVE)
             .build();
     Optional<ServerState> known = view.server(new ServerId(announced.getId()));
-    if (known.isPresent() && AnnouncementRule.late(announced, known.get())) {
+    if (known.isPresent() && AnnouncementFilter.isStale(announced, known.get())) {
       return List.of();
     }
     List<ObjectState> changed = new ArrayList<>();
-    if (announcement.getReportsRole() && !takeAddress(announced, view, changed)) {
+    if (announcement.getReportsRole() && !claimAddress(announced, view, changed)) {
       return List.of();
     }
-    dead.remove(announced.getId());
+    endedServers.remove(announced.getId());
     leaseMillis.put(announced.getId(), announcement.getLeaseMillis());
     changed.add(ObjectState.newBuilder().setServer(announced).build());
     if (announcement.getReportsRole()) {
-      newPrimary(announcement, known, view).ifPresent(changed::add);
+      reportedPrimaryChange(announcement, known, view).ifPresent(changed::add);
     } else {
-      firstPrimary(announcement, view).ifPresent(changed::add);
+      initialPrimary(announcement, view).ifPresent(changed::add);
     }
     return changed;
   }
 
   /**
-   * Removes the server that had the address before; returns false when this one is the older.
+   * Removes other servers with the same address. Returns false if one of them has a greater
+   * incarnation than the announcing server.
    *
-   * <p>Guards against an announcement that arrives after its sender has ended and another server
-   * has started at its address: work for the one would reach the other.
+   * <p>A delayed announcement of a stopped server may arrive after another server has started at
+   * the same address. Without this check, requests for one server would reach the other.
    */
-  private boolean takeAddress(Server announced, View view, List<ObjectState> changed) {
+  private boolean claimAddress(Server announced, View view, List<ObjectState> changed) {
     for (ServerState other : view.servers().values()) {
       boolean sameAddress =
           other.address().equals(StateCodec.address(announced.getAddress()))
@@ -74,7 +82,7 @@
         return false;
       }
       if (sameAddress) {
-        forget(other.id().value());
+        remove(other.id().value());
         changed.add(ObjectState.newBuilder().setRemovedServer(other.id().value()).build());
       }
     }
@@ -82,25 +90,30 @@
   }
 
   /**
-   * A server that becomes the primary by its own word is the group's from then on. One that only
-   * repeats that word changes nothing: a replaced primary that is cut off still says so.
+   * Returns the group with the announcing server as its new primary, if the server has changed its
+   * role to primary or the group has none.
+   *
+   * <p>A repeated report of the primary role changes nothing, because a replaced primary that is
+   * cut off keeps reporting it.
    */
-  private Optional<ObjectState> newPrimary(
+  private Optional<ObjectState> reportedPrimaryChange(
       Announcement announcement, Optional<ServerState> known, View view) {
     Server announced = announcement.getServer();
-    boolean before =
+    boolean wasPrimary =
         known.filter(server -> server.incarnation() == announced.getIncarnation()).isPresent()
-            && reportedPrimary.getOrDefault(announced.getId(), false);
-    reportedPrimary.put(announced.getId(), announcement.getPrimary());
+            && reportsPrimaryRole.getOrDefault(announced.getId(), false);
+    reportsPrimaryRole.put(announced.getId(), announcement.getPrimary());
     Optional<GroupState> group = view.group(new GroupId(announced.getGroup()));
-    boolean news =
+    boolean isNewPrimary =
         announcement.getPrimary()
             && group.isPresent()
-            && (!before || group.get().primary().isEmpty());
-    return news ? Optional.of(led(group.get(), announced.getId())) : Optional.empty();
+            && (!wasPrimary || group.get().primary().isEmpty());
+    return isNewPrimary
+        ? Optional.of(withPrimary(group.get(), announced.getId()))
+        : Optional.empty();
   }
 
-  private static ObjectState led(GroupState group, String primary) {
+  private static ObjectState withPrimary(GroupState group, String primary) {
     GroupState next =
         new GroupState(
             group.id(),
@@ -112,34 +125,41 @@
     return ObjectState.newBuilder().setGroup(StateCodec.groupMessage(next)).build();
   }
 
-  /** Returns the group with the primary that its servers report, where it has none yet. */
+  /**
+   * Returns the group with the primary that its servers report, if the group has no primary yet.
+   */
   GroupState withReportedPrimary(GroupState group, View view) {
     if (group.primary().isPresent()) {
       return group;
     }
     return view.serversOf(group.id()).stream()
-        .filter(server -> reportedPrimary.getOrDefault(server.id().value(), false))
+        .filter(server -> reportsPrimaryRole.getOrDefault(server.id().value(), false))
         .findFirst()
-        .map(server -> StateCodec.group(led(group, server.id().value()).getGroup()))
+        .map(server -> StateCodec.group(withPrimary(group, server.id().value()).getGroup()))
         .orElse(group);
   }
 
-  /** Returns what a server that reports its role said last; empty for other servers. */
-  Optional<Boolean> reportedPrimary(String server) {
-    return Optional.ofNullable(reportedPrimary.get(server));
+  /**
+   * Returns whether the server last reported that it is the primary; empty for servers that don't
+   * report their role.
+   */
+  Optional<Boolean> reportsPrimaryRole(String server) {
+    return Optional.ofNullable(reportsPrimaryRole.get(server));
   }
 
   /**
-   * A group that had no primary yet takes over the one that it runs with. Where its earlier terms
-   * began is not known, so none of their entries is taken for lost.
+   * Returns the group with the announced primary and term, if the group is in term 0.
+   *
+   * <p>The start positions of earlier terms are unknown, so the term history stays empty and none
+   * of their entries counts as lost.
    */
-  private static Optional<ObjectState> firstPrimary(Announcement announcement, View view) {
+  private static Optional<ObjectState> initialPrimary(Announcement announcement, View view) {
     GroupId id = new GroupId(announcement.getServer().getGroup());
     Optional<GroupState> group = view.group(id);
     if (!announcement.getPrimary() || group.isEmpty() || group.get().term() > 0) {
       return Optional.empty();
     }
-    GroupState adopted =
+    GroupState updated =
         new GroupState(
             id,
             announcement.getTerm(),
@@ -147,10 +167,13 @@
             List.of(),
             group.get().slotsPerServer(),
             group.get().connectionsPerServer());
-    return Optional.of(ObjectState.newBuilder().setGroup(StateCodec.groupMessage(adopted)).build());
+    return Optional.of(ObjectState.newBuilder().setGroup(StateCodec.groupMessage(updated)).build());
   }
 
-  /** Returns what the end of a lease changes; that of another incarnation changes nothing. */
+  /**
+   * Ends the lease of a server and returns the changed objects. An expiry for another incarnation
+   * changes nothing.
+   */
   List<ObjectState> expire(ServerExpiry expiry, View view) {
     Optional<ServerState> known = view.server(new ServerId(expiry.getServer()));
     boolean current =
@@ -160,32 +183,32 @@
     if (!current) {
       return List.of();
     }
-    boolean left =
+    boolean deregistered =
         expiry.getSaidGoodbye()
-            || reportedPrimary.containsKey(expiry.getServer())
+            || reportsPrimaryRole.containsKey(expiry.getServer())
                 && known.get().status() == ServerStatus.LEAVING;
-    Status ended = left ? Status.GONE : Status.EXPIRED;
+    Status endStatus = deregistered ? Status.GONE : Status.EXPIRED;
     if (known.get().status() == ServerStatus.GONE
-        || known.get().status().name().equals(ended.name())) {
+        || known.get().status().name().equals(endStatus.name())) {
       return List.of();
     }
     List<ObjectState> changed = new ArrayList<>();
-    Server expired = StateCodec.serverMessage(known.get()).toBuilder().setStatus(ended).build();
+    Server expired = StateCodec.serverMessage(known.get()).toBuilder().setStatus(endStatus).build();
     changed.add(ObjectState.newBuilder().setServer(expired).build());
-    dead.add(expiry.getServer());
-    if (dead.size() > DEAD_LIMIT) {
-      String oldest = dead.iterator().next();
-      forget(oldest);
+    endedServers.add(expiry.getServer());
+    if (endedServers.size() > MAX_ENDED_SERVERS) {
+      String oldest = endedServers.iterator().next();
+      remove(oldest);
       changed.add(ObjectState.newBuilder().setRemovedServer(oldest).build());
     }
     return changed;
   }
 
-  /** Drops what is remembered of a server that was removed. */
-  void forget(String server) {
-    dead.remove(server);
+  /** Removes all data of a server that was removed from the view. */
+  void remove(String server) {
+    endedServers.remove(server);
     leaseMillis.remove(server);
-    reportedPrimary.remove(server);
+    reportsPrimaryRole.remove(server);
   }
 
   int leaseMillis(String server) {
@@ -193,26 +216,26 @@
   }
 
   void store(ControlSnapshot.Builder snapshot) {
-    snapshot.addAllDeadServers(dead);
+    snapshot.addAllDeadServers(endedServers);
     leaseMillis.forEach(
         (server, millis) ->
             snapshot.addServerLeases(
                 ServerLease.newBuilder()
                     .setServer(server)
                     .setLeaseMillis(millis)
-                    .setReportsRole(reportedPrimary.containsKey(server))
-                    .setPrimary(reportedPrimary.getOrDefault(server, false))));
+                    .setReportsRole(reportsPrimaryRole.containsKey(server))
+                    .setPrimary(reportsPrimaryRole.getOrDefault(server, false))));
   }
 
   void restore(ControlSnapshot snapshot) {
     leaseMillis.clear();
-    dead.clear();
-    dead.addAll(snapshot.getDeadServersList());
-    reportedPrimary.clear();
+    endedServers.clear();
+    endedServers.addAll(snapshot.getDeadServersList());
+    reportsPrimaryRole.clear();
     for (ServerLease lease : snapshot.getServerLeasesList()) {
       leaseMillis.put(lease.getServer(), lease.getLeaseMillis());
       if (lease.getReportsRole()) {
-        reportedPrimary.put(lease.getServer(), lease.getPrimary());
+        reportsPrimaryRole.put(lease.getServer(), lease.getPrimary());
       }
     }
   }
--- a/alderyard-control/src/main/java/org/alderyard/control/state/TicketObjects.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/state/TicketObjects.java
@@ -7,12 +7,15 @@
 import org.alderyard.protocol.generated.state.ObjectState;
 import org.apache.commons.codec.digest.DigestUtils;
 
-/** Names and hashes of what a ticket touches. */
+/** Names of the objects that a ticket changes, and the content hash of a ticket. */
 public final class TicketObjects {
 
   private TicketObjects() {}
 
-  /** Returns kind/name of an object; a removal has the name of what it removes. */
+  /**
+   * Returns the name of an object in the form {@code kind/name}. A removal has the name of the
+   * object that it removes.
+   */
   public static String name(ObjectState object) {
     return switch (object.getObjectCase()) {
       case POOL -> "pool/" + object.getPool().getName();
@@ -32,10 +35,9 @@
   }
 
   /**
-   * Returns the ticket of a number and objects, with its content hash.
+   * Creates a ticket from a number and objects, including its content hash.
    *
-   * <p>The order of objects has no meaning, so the same objects in another order are the same
-   * content.
+   * <p>The objects are sorted by name first, so the content hash does not depend on their order.
    */
   public static Ticket ticket(long number, List<ObjectState> objects) {
     List<ObjectState> sorted =
--- a/alderyard-control/src/main/java/org/alderyard/control/state/TicketRules.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/state/TicketRules.java
@@ -22,51 +22,55 @@
 import org.alderyard.protocol.generated.state.ObjectState;
 import org.alderyard.protocol.generated.state.Pool;
 
-/** Finds every fault of a ticket's objects, given the state that they would change. */
+/** Validates the objects of a ticket against the state that they would change. */
 public final class TicketRules {
-  /** The most objects of one ticket. */
+  /** Maximum number of objects in a ticket. */
   public static final int MAX_OBJECTS = 10_000;
 
   private static final long MAX_STALENESS_MILLIS = 24L * 60 * 60 * 1000;
   private static final int MAX_STATEMENTS = 1_000_000;
   private static final int MAX_SLOTS = 10_000;
   private static final int MAX_CONNECTIONS = 100_000;
-  private static final String NAME = "1 to 128 characters of [A-Za-z0-9._:-]";
+  private static final String NAME_FORMAT = "1 to 128 characters of [A-Za-z0-9._:-]";
 
   private final View view;
-  private final Predicate<String> hostKnown;
+  private final Predicate<String> isKnownHost;
   private final List<ObjectState> objects;
-  private final Set<String> touched;
-  private final Set<String> addedGroups;
+  private final Set<String> changedNames;
+  private final Set<String> ticketGroups;
   private final List<FieldFault> faults = new ArrayList<>();
 
-  private TicketRules(View view, Predicate<String> hostKnown, List<ObjectState> objects) {
+  private TicketRules(View view, Predicate<String> isKnownHost, List<ObjectState> objects) {
     this.view = view;
-    this.hostKnown = hostKnown;
+    this.isKnownHost = isKnownHost;
     this.objects = objects;
-    touched = objects.stream().map(TicketObjects::name).collect(Collectors.toSet());
-    addedGroups =
+    changedNames = objects.stream().map(TicketObjects::name).collect(Collectors.toSet());
+    ticketGroups =
         objects.stream()
             .filter(ObjectState::hasGroup)
             .map(object -> object.getGroup().getId())
             .collect(Collectors.toSet());
   }
 
-  /** Returns each fault; none when the objects may become state. */
+  /**
+   * Returns all faults of the objects; empty when they are valid.
+   *
+   * @param isKnownHost whether a host id is known
+   */
   public static List<FieldFault> check(
-      View view, Predicate<String> hostKnown, List<ObjectState> objects) {
-    return new TicketRules(view, hostKnown, objects).run();
+      View view, Predicate<String> isKnownHost, List<ObjectState> objects) {
+    return new TicketRules(view, isKnownHost, objects).validate();
   }
 
-  private List<FieldFault> run() {
+  private List<FieldFault> validate() {
     if (objects.isEmpty() || objects.size() > MAX_OBJECTS) {
-      add("ticket", "objects", String.valueOf(objects.size()), "1 to " + MAX_OBJECTS);
+      addFault("ticket", "objects", String.valueOf(objects.size()), "1 to " + MAX_OBJECTS);
     }
     Set<String> seen = new HashSet<>();
     for (ObjectState object : objects) {
       String name = TicketObjects.name(object);
       if (!seen.add(name)) {
-        add(name, "name", name, "each object once in a ticket");
+        addFault(name, "name", name, "each object at most once in a ticket");
       }
       checkObject(name, object);
     }
@@ -75,80 +79,81 @@
 
   private void checkObject(String name, ObjectState object) {
     switch (object.getObjectCase()) {
-      case POOL -> pool(name, object.getPool());
-      case GROUP -> group(name, object.getGroup());
-      case KEY_RING -> keys(name, object.getKeyRing());
-      case HOST_POLICY -> host(name, object.getHostPolicy().getId());
+      case POOL -> checkPool(name, object.getPool());
+      case GROUP -> checkGroup(name, object.getGroup());
+      case KEY_RING -> checkKeyRing(name, object.getKeyRing());
+      case HOST_POLICY -> checkHost(name, object.getHostPolicy().getId());
       case REMOVED_POOL -> {
-        if (named(name, object.getRemovedPool(), PoolName::new)) {
-          known(name, view.pool(new PoolName(object.getRemovedPool())).isPresent());
+        if (checkName(name, object.getRemovedPool(), PoolName::new)) {
+          checkExists(name, view.pool(new PoolName(object.getRemovedPool())).isPresent());
         }
       }
-      case REMOVED_GROUP -> removedGroup(name, object.getRemovedGroup());
-      case REMOVED_SERVER -> removedServer(name, object.getRemovedServer());
-      case REMOVED_HOST_POLICY -> host(name, object.getRemovedHostPolicy());
+      case REMOVED_GROUP -> checkRemovedGroup(name, object.getRemovedGroup());
+      case REMOVED_SERVER -> checkRemovedServer(name, object.getRemovedServer());
+      case REMOVED_HOST_POLICY -> checkHost(name, object.getRemovedHostPolicy());
       default ->
-          add(name, "kind", object.getObjectCase().name(), "pool, group, keys, host, server");
+          addFault(name, "kind", object.getObjectCase().name(), "pool, group, keys, host, server");
     }
   }
 
-  private void pool(String name, Pool pool) {
-    named(name, pool.getName(), PoolName::new);
+  private void checkPool(String name, Pool pool) {
+    checkName(name, pool.getName(), PoolName::new);
     if (pool.getGroupsCount() == 0) {
-      add(name, "groups", "[]", "at least one group");
+      addFault(name, "groups", "[]", "at least one group");
     }
     Set<String> seen = new HashSet<>();
     for (String group : pool.getGroupsList()) {
       if (!seen.add(group)) {
-        add(name, "groups", group, "each group once");
+        addFault(name, "groups", group, "each group at most once");
       }
-      if (!groupAfterwards(group)) {
-        add(name, "groups", group, "a group of the control state or of this ticket");
+      if (!existsAfterTicket(group)) {
+        addFault(name, "groups", group, "a group of the control state or of this ticket");
       }
     }
-    range(name, "maxStalenessMillis", pool.getMaxStalenessMillis(), 0, MAX_STALENESS_MILLIS);
-    range(name, "maxConcurrentStatements", pool.getMaxConcurrentStatements(), 0, MAX_STATEMENTS);
+    checkRange(name, "maxStalenessMillis", pool.getMaxStalenessMillis(), 0, MAX_STALENESS_MILLIS);
+    checkRange(
+        name, "maxConcurrentStatements", pool.getMaxConcurrentStatements(), 0, MAX_STATEMENTS);
   }
 
-  private boolean groupAfterwards(String group) {
-    if (addedGroups.contains(group)) {
+  private boolean existsAfterTicket(String group) {
+    if (ticketGroups.contains(group)) {
       return true;
     }
-    boolean removed = touched.contains("group/" + group);
-    return !removed && valid(group, GroupId::new) && view.group(new GroupId(group)).isPresent();
+    boolean removed = changedNames.contains("group/" + group);
+    return !removed && isValid(group, GroupId::new) && view.group(new GroupId(group)).isPresent();
   }
 
-  private void host(String name, String host) {
-    if (named(name, host, HostId::new) && !hostKnown.test(host)) {
-      add(name, "name", host, "a host that runs or that a ticket named before");
+  private void checkHost(String name, String host) {
+    if (checkName(name, host, HostId::new) && !isKnownHost.test(host)) {
+      addFault(name, "name", host, "a registered host or a host named by an earlier ticket");
     }
   }
 
-  private void group(String name, Group group) {
-    named(name, group.getId(), GroupId::new);
-    range(name, "slotsPerServer", group.getSlotsPerServer(), 1, MAX_SLOTS);
-    range(
+  private void checkGroup(String name, Group group) {
+    checkName(name, group.getId(), GroupId::new);
+    checkRange(name, "slotsPerServer", group.getSlotsPerServer(), 1, MAX_SLOTS);
+    checkRange(
         name,
         "connectionsPerServer",
         group.getConnectionsPerServer(),
         Math.max(1, group.getSlotsPerServer()),
         MAX_CONNECTIONS);
     if (group.getTerm() != 0 || !group.getPrimary().isEmpty() || group.getTermHistoryCount() > 0) {
-      add(name, "term", String.valueOf(group.getTerm()), "nothing; failovers set it");
+      addFault(name, "term", String.valueOf(group.getTerm()), "no value; failovers set the term");
     }
   }
 
-  private void keys(String name, KeyRing ring) {
+  private void checkKeyRing(String name, KeyRing ring) {
     if (ring.getKeysCount() == 0) {
-      add(name, "keys", "[]", "at least one key");
+      addFault(name, "keys", "[]", "at least one key");
     }
     Set<Integer> seen = new HashSet<>();
     for (Key key : ring.getKeysList()) {
       if (!seen.add(key.getId())) {
-        add(name, "keys.id", Integer.toUnsignedString(key.getId()), "each id once");
+        addFault(name, "keys.id", Integer.toUnsignedString(key.getId()), "each id at most once");
       }
       if (key.getSecret().size() < SigningKey.MIN_SECRET_BYTES) {
-        add(
+        addFault(
             name,
             "keys.secretBase64",
             key.getSecret().size() + " bytes",
@@ -157,66 +162,67 @@
     }
   }
 
-  private void removedGroup(String name, String group) {
-    if (!named(name, group, GroupId::new)) {
+  private void checkRemovedGroup(String name, String group) {
+    if (!checkName(name, group, GroupId::new)) {
       return;
     }
-    known(name, view.group(new GroupId(group)).isPresent());
-    String users =
+    checkExists(name, view.group(new GroupId(group)).isPresent());
+    String poolNames =
         view.pools().values().stream()
             .filter(pool -> pool.groups().contains(new GroupId(group)))
             .map(pool -> pool.name().value())
-            // A pool that the ticket replaces or removes is judged by its new state alone.
-            .filter(pool -> !touched.contains("pool/" + pool))
+            // Pools that the ticket replaces or removes are checked in their new state only.
+            .filter(poolName -> !changedNames.contains("pool/" + poolName))
             .collect(Collectors.joining(","));
-    if (!users.isEmpty()) {
-      add(name, "removed", "in use by pool " + users, "a group that no pool names");
+    if (!poolNames.isEmpty()) {
+      addFault(name, "removed", "in use by pool " + poolNames, "a group that no pool uses");
     }
   }
 
-  private void removedServer(String name, String server) {
-    if (!named(name, server, ServerId::new)) {
+  private void checkRemovedServer(String name, String server) {
+    if (!checkName(name, server, ServerId::new)) {
       return;
     }
     var known = view.server(new ServerId(server));
-    known(name, known.isPresent());
+    checkExists(name, known.isPresent());
     if (known.isPresent()
         && known.get().status() != ServerStatus.EXPIRED
         && known.get().status() != ServerStatus.GONE) {
-      add(name, "removed", "in use: its lease runs", "a server whose lease ran out");
+      addFault(
+          name, "removed", "in use: the lease has not ended", "a server whose lease has ended");
     }
   }
 
-  private void known(String name, boolean exists) {
+  private void checkExists(String name, boolean exists) {
     if (!exists) {
-      add(name, "removed", "unknown", "an object of the control state");
+      addFault(name, "removed", "unknown", "an object of the control state");
     }
   }
 
-  private boolean named(String name, String value, Function<String, ?> type) {
-    boolean valid = valid(value, type);
+  private boolean checkName(String name, String value, Function<String, ?> type) {
+    boolean valid = isValid(value, type);
     if (!valid) {
-      add(name, "name", value, NAME);
+      addFault(name, "name", value, NAME_FORMAT);
     }
     return valid;
   }
 
-  private static boolean valid(String value, Function<String, ?> type) {
+  private static boolean isValid(String value, Function<String, ?> type) {
     try {
       type.apply(value);
       return true;
-    } catch (AlderyardException wrong) {
+    } catch (AlderyardException invalid) {
       return false;
     }
   }
 
-  private void range(String name, String field, long value, long min, long max) {
+  private void checkRange(String name, String field, long value, long min, long max) {
     if (value < min || value > max) {
-      add(name, field, String.valueOf(value), min + " to " + max);
+      addFault(name, field, String.valueOf(value), min + " to " + max);
     }
   }
 
-  private void add(String object, String field, String value, String accepted) {
+  private void addFault(String object, String field, String value, String accepted) {
     faults.add(new FieldFault(object, field, value, accepted));
   }
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/state/TicketTable.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/state/TicketTable.java
@@ -10,39 +10,46 @@
 import org.alderyard.protocol.generated.control.TicketVerdict;
 
 /**
- * The numbers of accepted tickets and the first answer to each.
+ * Numbers of the accepted tickets, with the first answer to each.
  *
- * <p>Memory is bounded: past the limit the lowest numbers go, and the highest of them becomes the
- * floor. Guards against a ticket that runs twice: an operator resends an old number, it shows no
- * longer in the table, and would undo what newer tickets did. At or below the floor nothing is ever
- * applied; the answer is {@code FORGOTTEN}, whether the number was accepted or not.
+ * <p>The table is bounded: when it is full, the lowest numbers are removed, and the highest removed
+ * number becomes the floor. Numbers at or below the floor are answered with {@code FORGOTTEN} and
+ * never applied, whether they were accepted or not. Otherwise an old ticket that an operator
+ * resends would be applied a second time and undo the changes of newer tickets.
  */
 final class TicketTable {
-  /** About half a day of tickets at the size to design for. */
-  static final int DEFAULT_LIMIT = 20_000;
+  /**
+   * Default maximum number of tickets in the table, about half a day of tickets at the size the
+   * system is designed for.
+   */
+  static final int DEFAULT_MAX_TICKETS = 20_000;
 
-  private final int limit;
-  private final TreeMap<Long, TicketAnswer> accepted = new TreeMap<>();
+  private final int maxTickets;
+  private final TreeMap<Long, TicketAnswer> answers = new TreeMap<>();
   private long floor;
 
-  TicketTable(int limit) {
-    this.limit = limit;
+  TicketTable(int maxTickets) {
+    this.maxTickets = maxTickets;
   }
 
-  /** Returns the answer to a number that was used before. */
-  Optional<TicketAnswer> earlier(long number, ByteString contentHash) {
+  /**
+   * Returns the answer to a number that was used before or is at or below the floor.
+   *
+   * <p>The answer is a {@code CONFLICT} if the number was accepted with another content hash.
+   */
+  Optional<TicketAnswer> findPreviousAnswer(long number, ByteString contentHash) {
     if (number <= floor) {
-      return Optional.of(forgotten(number, contentHash));
+      return Optional.of(forgottenAnswer(number, contentHash));
     }
     return find(number)
         .map(
-            first ->
-                first.getContentHash().equals(contentHash)
-                    ? first
-                    : first.toBuilder().setVerdict(TicketVerdict.CONFLICT).build());
+            previous ->
+                previous.getContentHash().equals(contentHash)
+                    ? previous
+                    : previous.toBuilder().setVerdict(TicketVerdict.CONFLICT).build());
   }
 
-  private TicketAnswer forgotten(long number, ByteString contentHash) {
+  private TicketAnswer forgottenAnswer(long number, ByteString contentHash) {
     return TicketAnswer.newBuilder()
         .setNumber(number)
         .setContentHash(contentHash)
@@ -51,38 +58,38 @@
         .build();
   }
 
-  /** Remembers the answer to a number that was not used before. */
-  void accept(TicketAnswer answer) {
-    accepted.put(answer.getNumber(), answer);
-    while (accepted.size() > limit) {
-      floor = accepted.pollFirstEntry().getKey();
+  /** Records the answer to a number that was not used before. */
+  void add(TicketAnswer answer) {
+    answers.put(answer.getNumber(), answer);
+    while (answers.size() > maxTickets) {
+      floor = answers.pollFirstEntry().getKey();
     }
   }
 
   Optional<TicketAnswer> find(long number) {
-    return Optional.ofNullable(accepted.get(number));
+    return Optional.ofNullable(answers.get(number));
   }
 
-  /** Returns the answers of the highest numbers, the highest first. */
-  List<TicketAnswer> newest(int count) {
-    return accepted.descendingMap().values().stream().limit(count).toList();
+  /** Returns the answers to the highest numbers, in descending order. */
+  List<TicketAnswer> highestNumbers(int count) {
+    return answers.descendingMap().values().stream().limit(count).toList();
   }
 
   Collection<TicketAnswer> all() {
-    return new ArrayList<>(accepted.values());
+    return new ArrayList<>(answers.values());
   }
 
   int size() {
-    return accepted.size();
+    return answers.size();
   }
 
   long floor() {
     return floor;
   }
 
-  void restore(Collection<TicketAnswer> answers, long restoredFloor) {
-    accepted.clear();
-    answers.forEach(answer -> accepted.put(answer.getNumber(), answer));
-    floor = restoredFloor;
+  void restore(Collection<TicketAnswer> restoredAnswers, long newFloor) {
+    answers.clear();
+    restoredAnswers.forEach(answer -> answers.put(answer.getNumber(), answer));
+    floor = newFloor;
   }
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/state/ViewChange.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/state/ViewChange.java
@@ -6,10 +6,10 @@
 import org.alderyard.protocol.generated.state.ViewDelta;
 
 /**
- * A new view.
+ * A new version of the view.
  *
- * @param view the view
- * @param chainHash the hash of all deltas up to it
- * @param delta what changed; empty when the view comes from a stored snapshot
+ * @param view the view after the change
+ * @param chainHash the chain hash over all deltas up to this view
+ * @param delta the changed objects; empty when the view was restored from a stored snapshot
  */
 public record ViewChange(View view, ByteString chainHash, Optional<ViewDelta> delta) {}
--- a/alderyard-control/src/main/java/org/alderyard/control/state/ViewTable.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/state/ViewTable.java
@@ -16,7 +16,7 @@
 import org.alderyard.protocol.view.ViewChain;
 import org.alderyard.protocol.view.ViewCodec;
 
-/** The view that the log's commands have built, with the chain of its deltas. */
+/** The current view, with the chain hash of its deltas. */
 final class ViewTable {
   private static final long EPOCH = 1;
 
@@ -31,9 +31,12 @@
     return chainHash;
   }
 
-  /** Applies changed objects; an object that is as before makes no version. */
+  /**
+   * Applies the objects that differ from the current view. Returns an empty result and keeps the
+   * version if none differs.
+   */
   Optional<ViewDelta> apply(long index, List<ObjectState> objects) {
-    List<ObjectState> changed = objects.stream().filter(this::changes).toList();
+    List<ObjectState> changed = objects.stream().filter(this::differs).toList();
     if (changed.isEmpty()) {
       return Optional.empty();
     }
@@ -49,23 +52,23 @@
     return Optional.of(delta);
   }
 
-  private boolean changes(ObjectState object) {
+  private boolean differs(ObjectState object) {
     return switch (object.getObjectCase()) {
       case POOL -> {
-        var known = view.pool(new PoolName(object.getPool().getName()));
-        yield !known.map(StateCodec::poolMessage).equals(Optional.of(object.getPool()));
+        var current = view.pool(new PoolName(object.getPool().getName()));
+        yield !current.map(StateCodec::poolMessage).equals(Optional.of(object.getPool()));
       }
       case GROUP -> {
-        var known = view.group(new GroupId(object.getGroup().getId()));
-        yield !known.map(StateCodec::groupMessage).equals(Optional.of(object.getGroup()));
+        var current = view.group(new GroupId(object.getGroup().getId()));
+        yield !current.map(StateCodec::groupMessage).equals(Optional.of(object.getGroup()));
       }
       case SERVER -> {
-        var known = view.server(new ServerId(object.getServer().getId()));
-        yield !known.map(StateCodec::serverMessage).equals(Optional.of(object.getServer()));
+        var current = view.server(new ServerId(object.getServer().getId()));
+        yield !current.map(StateCodec::serverMessage).equals(Optional.of(object.getServer()));
       }
       case HOST -> {
-        var known = Optional.ofNullable(view.hosts().get(new HostId(object.getHost().getId())));
-        yield !known.map(StateCodec::hostMessage).equals(Optional.of(object.getHost()));
+        var current = Optional.ofNullable(view.hosts().get(new HostId(object.getHost().getId())));
+        yield !current.map(StateCodec::hostMessage).equals(Optional.of(object.getHost()));
       }
       case KEY_RING -> !StateCodec.keyRingMessage(view.keys()).equals(object.getKeyRing());
       case REMOVED_POOL -> view.pool(new PoolName(object.getRemovedPool())).isPresent();
--- a/alderyard-control/src/main/java/org/alderyard/control/state/package-info.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/state/package-info.java
@@ -1,2 +1,2 @@
-/** The control state: what committed commands make of it, and the tickets among them. */
+/** The replicated control state that is built from committed commands, including change tickets. */
 package org.alderyard.control.state;
--- a/alderyard-control/src/test/java/org/alderyard/control/state/ConfigurationSizeTest.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/state/ConfigurationSizeTest.java
@@ -10,11 +10,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against a change that is too large for the log and is sent again for ever: the host that
- * takes it must say so itself, since what a control host fails with refuses nothing.
+ * Guards against a configuration that is too large for the log and is resent forever. The host that
+ * receives it must reject it, because a failure at the control host is not taken as a final
+ * refusal.
  */
 class ConfigurationSizeTest {
-  private static Configuration withText(int bytes) {
+  private static Configuration configurationWithSource(int bytes) {
     return Configuration.newBuilder()
         .setNumber(1)
         .setSource(ByteString.copyFrom(new byte[bytes]))
@@ -22,19 +23,20 @@
   }
 
   @Test
-  void largestConfigurationIsTaken() {
+  void largestConfigurationIsAccepted() {
     int overhead =
-        withText(ConfigurationRules.MAX_BYTES).getSerializedSize() - ConfigurationRules.MAX_BYTES;
+        configurationWithSource(ConfigurationRules.MAX_BYTES).getSerializedSize()
+            - ConfigurationRules.MAX_BYTES;
 
-    ConfigurationRules.check(withText(ConfigurationRules.MAX_BYTES - overhead));
+    ConfigurationRules.check(configurationWithSource(ConfigurationRules.MAX_BYTES - overhead));
   }
 
   @Test
-  void largerOneIsRefusedWhereItIsTaken() {
+  void largerConfigurationIsRejectedByReceiver() {
     AlderyardException refusal =
         assertThrows(
             AlderyardException.class,
-            () -> ConfigurationRules.check(withText(ConfigurationRules.MAX_BYTES)));
+            () -> ConfigurationRules.check(configurationWithSource(ConfigurationRules.MAX_BYTES)));
 
     assertThat(refusal.code()).isEqualTo(ErrorCode.REQUEST_TOO_LARGE);
   }
--- a/alderyard-control/src/test/java/org/alderyard/control/state/ConfigurationStateTest.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/state/ConfigurationStateTest.java
@@ -16,7 +16,7 @@
 import org.alderyard.protocol.generated.state.GroupLimits;
 import org.junit.jupiter.api.Test;
 
-/** Configurations of sessions: the highest number counts, and nothing brings an older one back. */
+/** Session configurations: the highest number is in force, and a lower number never replaces it. */
 class ConfigurationStateTest {
   private final List<ViewChange> changes = new ArrayList<>();
   private ControlState state = new ControlState(changes::add);
@@ -46,26 +46,27 @@
     return configuration.build();
   }
 
-  private long inForce() {
+  private long currentNumber() {
     return state.view().configuration().map(ConfigurationState::number).orElse(0L);
   }
 
   @Test
-  void olderConfigurationThatArrivesLateIsAcknowledgedAndChangesNothing() throws Exception {
-    // An operator's change was overtaken while its answer was lost, and is sent again. Refusing it
-    // would be wrong, as it was taken once; obeying it would bring old databases back.
+  void lowerNumberIsAcknowledgedAndChangesNothing() throws Exception {
+    // The reply to configuration 3 is lost and configuration 7 is applied before the resend
+    // arrives. Rejecting the resend would be wrong because it was accepted before; applying it
+    // would restore old databases.
     replace(configuration(3, "three", "g1"));
     replace(configuration(7, "seven", "g1", "g2"));
 
-    ReplaceConfigurationReply late = replace(configuration(3, "three", "g1"));
+    ReplaceConfigurationReply resent = replace(configuration(3, "three", "g1"));
 
-    assertThat(late.getNumber()).isEqualTo(7);
-    assertThat(late.getConflict()).isFalse();
-    assertThat(inForce()).isEqualTo(7);
+    assertThat(resent.getNumber()).isEqualTo(7);
+    assertThat(resent.getConflict()).isFalse();
+    assertThat(currentNumber()).isEqualTo(7);
   }
 
   @Test
-  void otherContentUnderTheNumberInForceIsConflict() throws Exception {
+  void otherContentForCurrentNumberIsConflict() throws Exception {
     replace(configuration(3, "three", "g1"));
 
     assertThat(replace(configuration(3, "other", "g1", "g2")).getConflict()).isTrue();
@@ -74,7 +75,7 @@
   }
 
   @Test
-  void groupsFollowTheConfiguration() throws Exception {
+  void groupsMatchConfiguration() throws Exception {
     replace(configuration(3, "three", "g1", "g2"));
     replace(configuration(4, "four", "g2"));
 
@@ -82,11 +83,11 @@
   }
 
   @Test
-  void groupsChangeInOneOrderOnAllControlHosts() throws Exception {
-    // Each control host derives the changed objects itself, and the hash of their chain must come
-    // out the same everywhere. In the order of an unsorted map, which differs from process to
-    // process, it did not: followers had no deltas to give, all hosts turned to the leader again
-    // and again, and those that did not reach it stayed behind.
+  void groupChangesHaveSameOrderOnAllControlHosts() throws Exception {
+    // Each control host derives the changed objects itself, and the chain hash must be the same on
+    // all hosts. With an unsorted map, whose order differs from process to process, the hashes
+    // differed: followers had no usable deltas, all hosts polled the leader, and hosts that
+    // couldn't reach the leader stayed on an old view.
     String[] groups = new String[40];
     for (int i = 0; i < groups.length; i++) {
       groups[i] = String.format("g%02d", (i * 7) % groups.length);
@@ -108,21 +109,21 @@
   }
 
   @Test
-  void configurationOutlivesSnapshot() throws Exception {
+  void configurationSurvivesSnapshotAndRestore() throws Exception {
     replace(configuration(3, "three", "g1"));
     ByteString snapshot = state.snapshot();
 
     state = new ControlState(changes::add);
     state.restore(index, snapshot);
 
-    assertThat(inForce()).isEqualTo(3);
+    assertThat(currentNumber()).isEqualTo(3);
     assertThat(state.view().configuration().orElseThrow().source().toArray())
         .isEqualTo("three".getBytes(java.nio.charset.StandardCharsets.UTF_8));
   }
 
   @Test
-  void everyFaultIsNamed() {
-    Configuration faulty =
+  void allFaultsAreReported() {
+    Configuration invalid =
         Configuration.newBuilder()
             .setNumber(1)
             .addDatabases(Database.newBuilder().setName("a").setGroup("none"))
@@ -130,7 +131,7 @@
                 Database.newBuilder().setName("a").setGroup("none").setStatementTimeoutMillis(1))
             .build();
 
-    assertThat(ConfigurationRules.faults(faulty).stream().map(FieldFault::field))
+    assertThat(ConfigurationRules.faults(invalid).stream().map(FieldFault::field))
         .containsExactly("group", "statement-timeout", "group", "scope");
     assertThat(ConfigurationRules.faults(configuration(1, "x", "g1"))).isEmpty();
   }
--- a/alderyard-control/src/test/java/org/alderyard/control/state/ReportedRoleTest.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/state/ReportedRoleTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Servers that report their role: who leads a group, who left, and whose word is out of date. */
+/** Servers that report their role: the primary of a group, deregistration and outdated reports. */
 class ReportedRoleTest {
   private static final GroupId GROUP = new GroupId("g1");
 
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void serverThatBecomesThePrimaryIsTheGroups() {
+  void serverThatBecomesPrimaryIsPrimaryOfItsGroup() {
     announce("s1", 1, 1, true, false);
     announce("s2", 1, 2, false, false);
     assertThat(primary()).hasValue("s1");
@@ -72,9 +72,9 @@
   }
 
   @Test
-  void replacedPrimaryThatStillSaysThatItLeadsChangesNothing() {
-    // The primary is cut off and replaced; its heartbeats still reach a control host and still say
-    // that it leads. Work must not turn back to it.
+  void replacedPrimaryThatStillReportsPrimaryRoleChangesNothing() {
+    // The primary is cut off and replaced, but its heartbeats still reach a control host and report
+    // the primary role. Requests must not be routed to it again.
     announce("s1", 1, 1, true, false);
     announce("s2", 1, 2, true, false);
     announce("s1", 1, 1, true, false);
@@ -83,7 +83,7 @@
   }
 
   @Test
-  void primaryThatAnnouncedItselfBeforeTheConfigurationIsFound() {
+  void primaryAnnouncedBeforeConfigurationBecomesPrimaryOfGroup() {
     announce("s9", 1, 9, true, false);
     apply(
         Command.newBuilder()
@@ -93,9 +93,9 @@
   }
 
   @Test
-  void serverThatLeftDoesNotComeBackUnderItsOldStart() {
-    // A server says goodbye; a heartbeat from before arrives after it. Work would go to a process
-    // that has ended.
+  void deregisteredServerReturnsOnlyWithGreaterIncarnation() {
+    // A heartbeat that was sent before the deregistration arrives after it. Accepting it would
+    // route requests to a stopped process.
     announce("s1", 1, 1, false, true);
     apply(
         Command.newBuilder()
@@ -108,9 +108,9 @@
   }
 
   @Test
-  void addressBelongsToTheServerThatStartedLast() {
-    // A crashed server's heartbeat was held up and arrives after another server has started at
-    // its address.
+  void addressBelongsToServerWithGreatestIncarnation() {
+    // A delayed heartbeat of a crashed server arrives after another server has started at its
+    // address.
     announce("old", 5, 1, true, false);
     announce("new", 9, 1, false, false);
     announce("old", 5, 1, true, false);
@@ -120,7 +120,7 @@
   }
 
   @Test
-  void leavingServerWhoseLeaseEndsIsGoneAndSilentOneOnlyExpires() {
+  void endOfLeaseMakesLeavingServerGoneAndActiveServerExpired() {
     announce("s1", 1, 1, false, true);
     announce("s2", 1, 2, false, false);
     for (String id : new String[] {"s1", "s2"}) {
--- a/alderyard-control/src/test/java/org/alderyard/control/state/TicketHistoryTest.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/state/TicketHistoryTest.java
@@ -18,9 +18,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Operators submit and look up tickets at the same time. Each history must be one that a single
- * operator could have seen, one request after the other; else two operators may both be told that
- * their content of one number was accepted.
+ * Checks that concurrent ticket submissions and lookups are linearizable. Otherwise two operators
+ * could both receive {@code ACCEPTED} for different contents of one number.
  */
 @Param(name = "number", gen = IntGen.class, conf = "1:3")
 @Param(name = "content", gen = IntGen.class, conf = "1:2")
@@ -28,7 +27,7 @@
   private final ControlState state = new ControlState(change -> {});
   private final LocalLog log = new LocalLog(new HostId("c1"), state);
 
-  /** Returns the verdict, and the content that the number has. */
+  /** Submits a ticket and returns the verdict with the accepted content of the number. */
   @Operation
   public String submit(@Param(name = "number") int number, @Param(name = "content") int content) {
     Ticket ticket = ticket(number, content);
@@ -40,7 +39,7 @@
     }
   }
 
-  /** Returns the content that the number has, if any. */
+  /** Returns the verdict with the accepted content of the number, or {@code none}. */
   @Operation
   public String find(@Param(name = "number") int number) {
     return state.ticket(number).map(answer -> text(number, answer)).orElse("none");
@@ -61,17 +60,17 @@
     return TicketObjects.ticket(number, List.of(ObjectState.newBuilder().setGroup(group).build()));
   }
 
-  /** What one operator after the other would see. */
+  /** Sequential specification of tickets. */
   public static class Sequential {
     private final Map<Integer, Integer> accepted = new HashMap<>();
 
-    /** Accepts the first content of a number. */
+    /** Accepts the first content of a number; any other content is a conflict. */
     public String submit(int number, int content) {
       int first = accepted.computeIfAbsent(number, key -> content);
       return (first == content ? "ACCEPTED " : "CONFLICT ") + first;
     }
 
-    /** Returns the accepted content. */
+    /** Returns the accepted content of the number, or {@code none}. */
     public String find(int number) {
       return accepted.containsKey(number) ? "ACCEPTED " + accepted.get(number) : "none";
     }
--- a/alderyard-control/src/test/java/org/alderyard/control/state/TicketStateTest.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/state/TicketStateTest.java
@@ -26,14 +26,14 @@
 import org.alderyard.protocol.generated.state.Server;
 import org.junit.jupiter.api.Test;
 
-/** Tickets: one content for a number, whole new states, all faults at once. */
+/** Tickets: one content per number, complete replacement of objects, and a report of all faults. */
 class TicketStateTest {
-  private static final int REMEMBERED = 3;
+  private static final int MAX_TICKETS = 3;
   private static final Endpoint ADDRESS =
       Endpoint.newBuilder().setAddress("127.0.0.1").setPort(1).build();
 
   private final List<ViewChange> changes = new ArrayList<>();
-  private ControlState state = new ControlState(changes::add, FailoverHandler.NONE, REMEMBERED);
+  private ControlState state = new ControlState(changes::add, FailoverHandler.NONE, MAX_TICKETS);
   private long index;
 
   private TicketAnswer submit(Ticket ticket) throws InvalidProtocolBufferException {
@@ -76,24 +76,24 @@
   }
 
   /**
-   * An operator resends ticket 1 since its answer was lost. Meanwhile ticket 2 changed the same
-   * group. A resend that ran again would silently undo ticket 2.
+   * An operator resends ticket 1 after its answer was lost. Ticket 2 has changed the same group in
+   * the meantime; applying ticket 1 again would silently undo ticket 2.
    */
   @Test
-  void resentTicketGetsItsFirstAnswerAndChangesNothing() throws Exception {
+  void resentTicketReturnsFirstAnswerAndChangesNothing() throws Exception {
     TicketAnswer first = submit(ticket(1, group("g1", 2), pool("p", "g1")));
     submit(ticket(2, group("g1", 5)));
     int changesBefore = changes.size();
 
-    TicketAnswer again = submit(ticket(1, pool("p", "g1"), group("g1", 2)));
+    TicketAnswer resent = submit(ticket(1, pool("p", "g1"), group("g1", 2)));
 
-    assertThat(again).isEqualTo(first);
+    assertThat(resent).isEqualTo(first);
     assertThat(changes).hasSize(changesBefore);
     assertThat(state.view().group(new GroupId("g1")).get().slotsPerServer()).isEqualTo(5);
   }
 
   @Test
-  void otherContentUnderTheSameNumberIsConflictThatNamesTheAccepted() throws Exception {
+  void otherContentForSameNumberIsConflictWithAcceptedTicket() throws Exception {
     TicketAnswer first = submit(ticket(1, group("g1", 2)));
 
     TicketAnswer other = submit(ticket(1, group("g1", 3)));
@@ -105,9 +105,11 @@
     assertThat(state.view().group(new GroupId("g1")).get().slotsPerServer()).isEqualTo(2);
   }
 
-  /** An invalid ticket leaves its number free, so that the operator can mend and resend it. */
+  /**
+   * An invalid ticket doesn't use up its number, so the operator can correct and resend the ticket.
+   */
   @Test
-  void everyFaultIsNamedAtOnceAndNothingIsApplied() throws Exception {
+  void allFaultsAreReportedAndNothingIsApplied() throws Exception {
     TicketAnswer answer =
         submit(
             ticket(
@@ -120,7 +122,7 @@
                     .build()));
 
     assertThat(answer.getVerdict()).isEqualTo(TicketVerdict.INVALID);
-    assertThat(answer.getFaultsList().stream().map(TicketStateTest::place).toList())
+    assertThat(answer.getFaultsList().stream().map(TicketStateTest::faultText).toList())
         .containsExactly(
             "group/g1 slotsPerServer 0",
             "group/g9 removed unknown",
@@ -132,12 +134,12 @@
     assertThat(submit(ticket(1, group("g1", 2))).getVerdict()).isEqualTo(TicketVerdict.ACCEPTED);
   }
 
-  private static String place(TicketFault fault) {
+  private static String faultText(TicketFault fault) {
     return fault.getObject() + " " + fault.getField() + " " + fault.getValue();
   }
 
   @Test
-  void groupThatPoolNamesIsRemovedOnlyTogetherWithThatUse() throws Exception {
+  void groupInUseIsRemovedOnlyTogetherWithItsUse() throws Exception {
     ObjectState removal = ObjectState.newBuilder().setRemovedGroup("g1").build();
     submit(ticket(1, group("g1", 2), group("g2", 2), pool("p", "g1", "g2")));
 
@@ -150,12 +152,12 @@
   }
 
   /**
-   * A script resends a ticket of long ago, after the memory of numbers has gone past it. Applied
-   * again, it would bring the old limits back.
+   * A script resends an old ticket whose number has been removed from the table. Applying it again
+   * would restore the old limits.
    */
   @Test
-  void forgottenNumberIsRefusedAndNeverAppliedAgain() throws Exception {
-    for (int number = 1; number <= REMEMBERED + 1; number++) {
+  void forgottenNumberIsRejectedAndNeverAppliedAgain() throws Exception {
+    for (int number = 1; number <= MAX_TICKETS + 1; number++) {
       submit(ticket(number, group("g1", number)));
     }
 
@@ -164,22 +166,22 @@
     assertThat(answer.getVerdict()).isEqualTo(TicketVerdict.FORGOTTEN);
     assertThat(answer.getFloor()).isEqualTo(1);
     assertThat(state.view().group(new GroupId("g1")).get().slotsPerServer())
-        .isEqualTo(REMEMBERED + 1);
-    assertThat(state.ticketsRemembered()).isEqualTo(REMEMBERED);
+        .isEqualTo(MAX_TICKETS + 1);
+    assertThat(state.ticketsRemembered()).isEqualTo(MAX_TICKETS);
   }
 
   /**
-   * A control host restarts from its stored snapshot; an operator resends through it, another one
-   * races with the same number. Both must get what the host would have said before.
+   * A control host restarts from its stored snapshot. A resent ticket and a conflicting ticket with
+   * the same number must get the same answers as before the restart.
    */
   @Test
   void numbersFloorAndChainSurviveSnapshotAndRestart() throws Exception {
-    for (int number = 1; number <= REMEMBERED + 1; number++) {
+    for (int number = 1; number <= MAX_TICKETS + 1; number++) {
       submit(ticket(number, group("g1", number)));
     }
     final ControlState before = state;
     ByteString stored = state.snapshot();
-    state = new ControlState(changes::add, FailoverHandler.NONE, REMEMBERED);
+    state = new ControlState(changes::add, FailoverHandler.NONE, MAX_TICKETS);
     state.restore(index, stored);
 
     assertThat(state.snapshot()).isEqualTo(stored);
@@ -191,8 +193,8 @@
   }
 
   /**
-   * An operator changes a group's limits while its primary is at term 4. The ticket knows nothing
-   * of terms; a whole new state that reset them would let the replaced primary back in.
+   * An operator changes the limits of a group whose primary is at term 4. If the ticket reset the
+   * term, a replaced primary would be accepted again.
    */
   @Test
   void ticketKeepsTermAndPrimaryOfRunningGroup() throws Exception {
@@ -219,9 +221,12 @@
     assertThat(group.primary().get().value()).isEqualTo("s1");
   }
 
-  /** A drained host is restarted for its repair; it must not take work before the operator says. */
+  /**
+   * A drained host restarts during maintenance. It must stay drained until an operator ends the
+   * drain.
+   */
   @Test
-  void drainHoldsOverRestartOfHostAndOfControl() {
+  void drainSurvivesRestartOfHostAndControlHost() {
     register("h1", 1);
     apply(
         Command.newBuilder()
@@ -239,9 +244,12 @@
     assertThat(state.view().hosts().get(new HostId("h1")).draining()).isTrue();
   }
 
-  /** A registration of the old process arrives after the new one registered, then after it left. */
+  /**
+   * A delayed registration of the old process arrives after the registration, and after the
+   * removal, of its successor.
+   */
   @Test
-  void lateRegistrationOfEarlierProcessIsIgnored() {
+  void delayedRegistrationOfEarlierProcessIsIgnored() {
     register("h1", 2);
     register("h1", 1);
     assertThat(state.view().hosts().get(new HostId("h1")).incarnation()).isEqualTo(2);
@@ -254,7 +262,7 @@
   }
 
   @Test
-  void failoverStepsGoToTheirHandler() throws Exception {
+  void failoverStepsArePassedToHandler() throws Exception {
     FailoverHandler handler =
         new FailoverHandler() {
           @Override
