--- a/alderyard-control/src/main/java/org/alderyard/control/service/ConfigurationService.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/service/ConfigurationService.java
@@ -13,7 +13,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Orders configurations of sessions, and gives back the newest one. */
+/** Proposes session configurations to the control log and returns the current one. */
 final class ConfigurationService {
   private static final Logger log = LoggerFactory.getLogger(ConfigurationService.class);
 
@@ -44,12 +44,15 @@
             });
   }
 
-  /** Answers from a state that a quorum has confirmed; without one it fails. */
+  /**
+   * Returns the current configuration from a state that a quorum has confirmed; fails without a
+   * quorum.
+   */
   CompletableFuture<FetchConfigurationReply> fetch(FetchConfigurationRequest request) {
-    return controlLog.readBarrier().thenApply(confirmed -> newest());
+    return controlLog.readBarrier().thenApply(confirmed -> currentConfiguration());
   }
 
-  private FetchConfigurationReply newest() {
+  private FetchConfigurationReply currentConfiguration() {
     FetchConfigurationReply.Builder reply = FetchConfigurationReply.newBuilder();
     state
         .view()
--- a/alderyard-control/src/main/java/org/alderyard/control/service/ControlService.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/service/ControlService.java
@@ -12,9 +12,12 @@
 import org.alderyard.protocol.generated.control.SubmitTicketRequest;
 import org.alderyard.protocol.wire.Dispatcher;
 
-/** Serves tickets, announcements, heartbeats and views. */
+/**
+ * Serves the control methods of the inner protocol: tickets, announcements, heartbeats,
+ * configurations and views.
+ */
 public final class ControlService {
-  private static final Duration SWEEP_INTERVAL = Duration.ofMillis(100);
+  private static final Duration LEASE_CHECK_INTERVAL = Duration.ofMillis(100);
 
   private final ControlState state;
   private final TicketService tickets;
@@ -22,7 +25,10 @@
   private final ViewService views;
   private final ConfigurationService configurations;
 
-  /** Creates the service over a log and the state that it builds. */
+  /**
+   * Creates a service that proposes commands to a log and answers from the state that the log
+   * builds.
+   */
   public ControlService(
       ControlLog controlLog,
       ControlState state,
@@ -37,7 +43,7 @@
     configurations = new ConfigurationService(controlLog, state, proposer);
   }
 
-  /** Adds the methods of this service. */
+  /** Registers the methods of this service at a dispatcher. */
   public void serve(Dispatcher dispatcher) {
     dispatcher
         .serve(ControlMethods.SUBMIT_TICKET, (peer, request) -> submit(request))
@@ -54,17 +60,17 @@
             ControlMethods.FETCH_CONFIGURATION, (peer, request) -> configurations.fetch(request));
   }
 
-  /** Starts to end the leases that run out. */
+  /** Starts the periodic check for expired leases. */
   public void start(WorkerPool workers) {
-    workers.scheduleRepeatedly(SWEEP_INTERVAL, registry::sweep);
+    workers.scheduleRepeatedly(LEASE_CHECK_INTERVAL, registry::expireLeases);
   }
 
-  /** Orders a ticket. */
+  /** Proposes a ticket to the control log. */
   public CompletableFuture<SubmitTicketReply> submit(SubmitTicketRequest request) {
     return tickets.submit(request);
   }
 
-  /** Returns the state that this service answers from. */
+  /** Returns the control state that requests are answered from. */
   public ControlState state() {
     return state;
   }
--- a/alderyard-control/src/main/java/org/alderyard/control/service/LeaseTable.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/service/LeaseTable.java
@@ -8,21 +8,28 @@
 import java.util.function.Predicate;
 
 /**
- * The leases that a leader keeps, by name; not thread-safe, time comes in with each call.
+ * Leases of servers or hosts that the leader keeps in memory. Not thread-safe; the current time is
+ * passed in by the caller.
  *
- * @param <K> the type of the name
+ * @param <K> the type of the lease holder's id
  */
 final class LeaseTable<K extends Comparable<K>> {
 
-  /** A lease of one incarnation. */
+  /**
+   * A lease of one incarnation of its holder.
+   *
+   * @param endMillis the end of the lease on the monotonic clock, in milliseconds
+   */
   record Lease(long incarnation, long endMillis) {}
 
-  /** A lease that ran out. */
+  /** An expired lease. */
   record Expired<K>(K holder, long incarnation) {}
 
   private final Map<K, Lease> leases = new TreeMap<>();
 
-  /** Grants or extends a lease; one of a lower incarnation than the known one is ignored. */
+  /**
+   * Grants or extends a lease. A renewal with a lower incarnation than the known one is ignored.
+   */
   void renew(K holder, long incarnation, long endMillis) {
     Lease known = leases.get(holder);
     if (known != null && known.incarnation() > incarnation) {
@@ -31,17 +38,17 @@
     leases.put(holder, new Lease(incarnation, endMillis));
   }
 
-  /** Ends the leases of all others. */
-  void keepOnly(Predicate<K> holders) {
-    leases.keySet().removeIf(holder -> !holders.test(holder));
+  /** Removes the leases whose holder does not match the predicate. */
+  void retainHolders(Predicate<K> predicate) {
+    leases.keySet().removeIf(holder -> !predicate.test(holder));
   }
 
-  /** Returns the lease of a holder. */
+  /** Returns the lease of a holder; empty when it has none. */
   Optional<Lease> find(K holder) {
     return Optional.ofNullable(leases.get(holder));
   }
 
-  /** Returns the leases that ran out; they stay until they are removed or renewed. */
+  /** Returns the expired leases, which stay in the table until they are removed or renewed. */
   List<Expired<K>> expired(long nowMillis) {
     List<Expired<K>> result = new ArrayList<>();
     leases.forEach(
@@ -53,7 +60,7 @@
     return result;
   }
 
-  /** Forgets all leases. */
+  /** Removes all leases. */
   void clear() {
     leases.clear();
   }
--- a/alderyard-control/src/main/java/org/alderyard/control/service/Proposer.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/service/Proposer.java
@@ -11,7 +11,9 @@
 import org.alderyard.control.log.ControlLog;
 import org.alderyard.protocol.generated.control.Command;
 
-/** Appends commands to the log and reads their answers. */
+/**
+ * Appends commands with a timestamp to the control log and parses the results of their application.
+ */
 final class Proposer {
   private final ControlLog controlLog;
   private final InstantSource wallClock;
@@ -35,7 +37,7 @@
       return parser.parseFrom(bytes);
     } catch (InvalidProtocolBufferException damaged) {
       throw AlderyardException.unknown(
-          ErrorCode.INTERNAL, "the answer of the control state can't be read", damaged);
+          ErrorCode.INTERNAL, "the reply of the control state can't be parsed", damaged);
     }
   }
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/service/RegistryService.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/service/RegistryService.java
@@ -35,30 +35,34 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The leases of backend servers and hosts, which only the leader keeps.
+ * Leases of backend servers and hosts, which only the leader keeps.
  *
- * <p>A renewal stays in the leader's memory; the log gets what changes the view: a registration, a
- * leaving server, the end of a lease.
+ * <p>Renewals stay in the leader's memory. Only changes of the view go to the log: registrations,
+ * servers that leave and expired leases.
  */
 final class RegistryService {
-  /** How long a host may act on a view without a confirmation, in milliseconds. */
+  /**
+   * Duration of a view lease: the time that a host may act on its view without a confirmation, in
+   * milliseconds.
+   */
   static final int VIEW_LEASE_MILLIS = 3_000;
 
   /**
-   * How long after the end of its lease a host stays registered, in milliseconds.
+   * Time from the end of its lease to the removal of a host, in milliseconds.
    *
-   * <p>It counts no longer for "in force" meanwhile. The removal is a change for all hosts, and a
-   * leader that is busy for some seconds must not remove many that live.
+   * <p>In this time the host no longer counts for the number of hosts on which a ticket is in
+   * force. A removal is a view change for all hosts, and a leader that is overloaded for some
+   * seconds must not remove many running hosts.
    */
   static final int REMOVAL_DELAY_MILLIS = 7_000;
 
-  /** The shortest and the longest lease of a backend server, in milliseconds. */
+  /** Minimum lease of a backend server, in milliseconds. */
   static final int MIN_SERVER_LEASE_MILLIS = 100;
 
   static final int MAX_SERVER_LEASE_MILLIS = 60_000;
 
   private static final Logger log = LoggerFactory.getLogger(RegistryService.class);
-  private static final int PROPOSAL_PAUSE_MILLIS = 1_000;
+  private static final int PROPOSAL_RETRY_MILLIS = 1_000;
   private static final long NO_TERM = -1;
 
   private final ControlLog controlLog;
@@ -69,10 +73,10 @@
   // Guarded by lock.
   private final LeaseTable<ServerId> serverLeases = new LeaseTable<>();
   private final LeaseTable<HostId> hostLeases = new LeaseTable<>();
-  private final Map<HostId, ViewVersion> acknowledged = new HashMap<>();
-  private final Map<ServerId, Heard> heard = new HashMap<>();
-  private long leasesOfTerm = NO_TERM;
-  private ViewVersion leasesOfVersion = ViewVersion.NONE;
+  private final Map<HostId, ViewVersion> acknowledgedVersions = new HashMap<>();
+  private final Map<ServerId, LastAnnouncement> lastAnnouncements = new HashMap<>();
+  private long leaseTerm = NO_TERM;
+  private ViewVersion leaseViewVersion = ViewVersion.NONE;
 
   RegistryService(
       ControlLog controlLog, ControlState state, Proposer proposer, MonotonicClock clock) {
@@ -82,11 +86,15 @@
     this.clock = clock;
   }
 
-  /** Takes announcements, once a quorum has confirmed that this host leads. */
+  /**
+   * Processes announcements of servers, once a quorum has confirmed that this host is the leader.
+   */
   CompletableFuture<AnnounceReply> announce(AnnounceRequest request) {
     long receivedMillis = clock.nowMillis();
-    // Refuses names that no server can have before anything is ordered.
-    request.getAnnouncementsList().forEach(a -> StateCodec.server(a.getServer()));
+    // Rejects invalid names before any command is proposed.
+    request
+        .getAnnouncementsList()
+        .forEach(announcement -> StateCodec.server(announcement.getServer()));
     return controlLog.readBarrier().thenCompose(done -> announce(request, receivedMillis));
   }
 
@@ -94,7 +102,7 @@
     AnnounceReply.Builder reply = AnnounceReply.newBuilder();
     List<CompletableFuture<?>> proposals = new ArrayList<>();
     for (Announcement received : request.getAnnouncementsList()) {
-      Announcement announcement = bounded(received);
+      Announcement announcement = withBoundedLease(received);
       ServerState server = StateCodec.server(announcement.getServer());
       Optional<ServerState> known = state.view().server(server.id());
       if (known.isPresent() && AnnouncementFilter.isStale(announcement.getServer(), known.get())) {
@@ -107,7 +115,7 @@
         reply.addStaleServers(server.id().value());
         continue;
       }
-      if (overtaken(announcement, server)) {
+      if (isOvertaken(announcement, server)) {
         log.info(
             "event=announcement-ignored server={} reason=overtaken incarnation={} sequence={}",
             server.id(),
@@ -116,7 +124,7 @@
         continue;
       }
       renew(server, receivedMillis + announcement.getLeaseMillis());
-      if (changes(announcement, server, known)) {
+      if (changesState(announcement, server, known)) {
         log.info(
             "event=announcement server={} incarnation={} leaving={}",
             server.id(),
@@ -135,28 +143,29 @@
         .thenApply(done -> reply.build());
   }
 
-  /** An announcement that was passed by a later one of the same server says nothing new. */
-  private boolean overtaken(Announcement announcement, ServerState server) {
+  /** Returns whether a later announcement of the same server has already been received. */
+  private boolean isOvertaken(Announcement announcement, ServerState server) {
     if (announcement.getSequence() == 0) {
       return false;
     }
     synchronized (lock) {
-      startTerm();
-      Heard last = heard.get(server.id());
-      boolean late =
+      clearLeasesOfEarlierTerm();
+      LastAnnouncement last = lastAnnouncements.get(server.id());
+      boolean overtaken =
           last != null
               && last.incarnation() == server.incarnation()
               && last.sequence() > announcement.getSequence();
-      if (!late) {
-        heard.put(server.id(), new Heard(server.incarnation(), announcement.getSequence()));
+      if (!overtaken) {
+        lastAnnouncements.put(
+            server.id(), new LastAnnouncement(server.incarnation(), announcement.getSequence()));
       }
-      return late;
+      return overtaken;
     }
   }
 
-  private record Heard(long incarnation, long sequence) {}
+  private record LastAnnouncement(long incarnation, long sequence) {}
 
-  private static Announcement bounded(Announcement announcement) {
+  private static Announcement withBoundedLease(Announcement announcement) {
     int leaseMillis =
         Math.max(
             MIN_SERVER_LEASE_MILLIS,
@@ -168,7 +177,7 @@
     return announcement.toBuilder().setServer(server).setLeaseMillis(leaseMillis).build();
   }
 
-  private boolean changes(
+  private boolean changesState(
       Announcement announcement, ServerState announced, Optional<ServerState> known) {
     boolean firstPrimary =
         announcement.getPrimary()
@@ -185,15 +194,15 @@
 
   private void renew(ServerState server, long endMillis) {
     synchronized (lock) {
-      startTerm();
+      clearLeasesOfEarlierTerm();
       serverLeases.renew(server.id(), server.incarnation(), endMillis);
     }
   }
 
-  /** Renews a host's lease, once a quorum has confirmed that this host leads. */
+  /** Renews a host's lease, once a quorum has confirmed that this host is the leader. */
   CompletableFuture<HeartbeatReply> heartbeat(HeartbeatRequest request) {
-    // From before the confirmation: a later leader gives every lease a full period from its
-    // election, which can't be earlier than this.
+    // The lease starts before the leadership is confirmed: a later leader grants every lease a full
+    // period from its election, which can't be earlier than this time.
     long receivedMillis = clock.nowMillis();
     HostState host = StateCodec.host(request.getHost());
     return controlLog
@@ -215,7 +224,7 @@
     var known = state.hostRegistration(host.id().value());
     if (known.isPresent() && known.get().getIncarnation() > host.incarnation()) {
       throw AlderyardException.notRun(
-          ErrorCode.PEER_REJECTED, "a newer process runs under the name of host " + host.id());
+          ErrorCode.PEER_REJECTED, "host is registered with a newer incarnation: " + host.id());
     }
     if (request.getLeaving()) {
       return expire(host.id(), host.incarnation(), "left");
@@ -231,38 +240,50 @@
 
   private void acknowledge(HostState host, HeartbeatRequest request, long receivedMillis) {
     synchronized (lock) {
-      startTerm();
+      clearLeasesOfEarlierTerm();
       hostLeases.renew(host.id(), host.incarnation(), receivedMillis + VIEW_LEASE_MILLIS);
-      acknowledged.put(host.id(), StateCodec.version(request.getRunning()));
+      acknowledgedVersions.put(host.id(), StateCodec.version(request.getRunning()));
     }
   }
 
-  /** Returns on how many of the hosts a version is in force; only the leader knows. */
+  /**
+   * Returns the number of hosts on which a view version is in force. Only the leader has this
+   * information.
+   */
   Progress progress(ViewVersion version) {
     synchronized (lock) {
-      startTerm();
+      clearLeasesOfEarlierTerm();
       long nowMillis = clock.nowMillis();
       List<HostId> hosts =
-          state.view().hosts().keySet().stream().filter(host -> mayAct(host, nowMillis)).toList();
+          state.view().hosts().keySet().stream()
+              .filter(host -> mayHoldLease(host, nowMillis))
+              .toList();
       long inForce =
           hosts.stream()
               .filter(
-                  host -> acknowledged.getOrDefault(host, ViewVersion.NONE).compareTo(version) >= 0)
+                  host ->
+                      acknowledgedVersions.getOrDefault(host, ViewVersion.NONE).compareTo(version)
+                          >= 0)
               .count();
       return new Progress((int) inForce, hosts.size());
     }
   }
 
-  /** A host without an entry may hold a lease that an earlier leader gave it. */
-  private boolean mayAct(HostId host, long nowMillis) {
+  /**
+   * Returns whether a host may hold a view lease. A host without an entry may hold one that an
+   * earlier leader granted.
+   */
+  private boolean mayHoldLease(HostId host, long nowMillis) {
     return hostLeases.find(host).filter(lease -> lease.endMillis() <= nowMillis).isEmpty();
   }
 
-  /** How far the hosts have followed. */
+  /**
+   * Number of hosts on which a version is in force, out of the hosts that may hold a view lease.
+   */
   record Progress(int inForce, int expected) {}
 
-  /** Ends the leases that ran out; does nothing on a host that does not lead. */
-  void sweep() {
+  /** Proposes the end of expired leases; does nothing on a host that is not the leader. */
+  void expireLeases() {
     if (!controlLog.leading()) {
       return;
     }
@@ -270,15 +291,15 @@
     List<LeaseTable.Expired<HostId>> hosts;
     long nowMillis = clock.nowMillis();
     synchronized (lock) {
-      startTerm();
-      fillIn(nowMillis);
+      clearLeasesOfEarlierTerm();
+      syncLeasesWithView(nowMillis);
       servers = serverLeases.expired(nowMillis);
       hosts = hostLeases.expired(nowMillis - REMOVAL_DELAY_MILLIS);
-      // An end that is not ordered, since the quorum is lost, is proposed again after a pause.
-      long againMillis = nowMillis + PROPOSAL_PAUSE_MILLIS;
-      servers.forEach(s -> serverLeases.renew(s.holder(), s.incarnation(), againMillis));
+      // An expiry that isn't committed because the quorum is lost is proposed again after a delay.
+      long retryMillis = nowMillis + PROPOSAL_RETRY_MILLIS;
+      servers.forEach(s -> serverLeases.renew(s.holder(), s.incarnation(), retryMillis));
       hosts.forEach(
-          h -> hostLeases.renew(h.holder(), h.incarnation(), againMillis - REMOVAL_DELAY_MILLIS));
+          h -> hostLeases.renew(h.holder(), h.incarnation(), retryMillis - REMOVAL_DELAY_MILLIS));
     }
     servers.forEach(expired -> expire(expired));
     hosts.forEach(expired -> expire(expired.holder(), expired.incarnation(), "lease-expired"));
@@ -306,59 +327,63 @@
   }
 
   /**
-   * Forgets the leases of an earlier term.
+   * Removes all leases of an earlier term, after which every lease gets a full period.
    *
-   * <p>Guards against a leader that was away: its table holds renewals from before, and would end
-   * leases that another leader has renewed since. After this every lease gets a full period.
+   * <p>A host that becomes the leader again would otherwise end leases that another leader has
+   * renewed since, because its table holds only the renewals of its earlier term.
    */
-  private void startTerm() {
+  private void clearLeasesOfEarlierTerm() {
     long term = controlLog.term();
-    if (term == leasesOfTerm) {
+    if (term == leaseTerm) {
       return;
     }
-    leasesOfTerm = term;
-    leasesOfVersion = ViewVersion.NONE;
+    leaseTerm = term;
+    leaseViewVersion = ViewVersion.NONE;
     serverLeases.clear();
     hostLeases.clear();
-    acknowledged.clear();
-    heard.clear();
+    acknowledgedVersions.clear();
+    lastAnnouncements.clear();
   }
 
-  private static boolean ended(ServerStatus status) {
+  private static boolean hasEnded(ServerStatus status) {
     return status == ServerStatus.EXPIRED || status == ServerStatus.GONE;
   }
 
-  /** Gives a full period to who is in the view without a lease, and drops who is no longer. */
-  private void fillIn(long nowMillis) {
+  /**
+   * Grants a full period to servers and hosts in the view that have no lease, and removes the
+   * leases of those that are no longer in the view.
+   */
+  private void syncLeasesWithView(long nowMillis) {
     View view = state.view();
-    if (view.version().equals(leasesOfVersion)) {
+    if (view.version().equals(leaseViewVersion)) {
       return;
     }
-    leasesOfVersion = view.version();
-    serverLeases.keepOnly(id -> view.server(id).filter(s -> !ended(s.status())).isPresent());
-    heard.keySet().retainAll(view.servers().keySet());
-    hostLeases.keepOnly(id -> view.hosts().containsKey(id));
-    acknowledged.keySet().retainAll(view.hosts().keySet());
+    leaseViewVersion = view.version();
+    serverLeases.retainHolders(
+        id -> view.server(id).filter(s -> !hasEnded(s.status())).isPresent());
+    lastAnnouncements.keySet().retainAll(view.servers().keySet());
+    hostLeases.retainHolders(id -> view.hosts().containsKey(id));
+    acknowledgedVersions.keySet().retainAll(view.hosts().keySet());
     for (ServerState server : view.servers().values()) {
-      boolean covered =
-          ended(server.status())
+      boolean hasLease =
+          hasEnded(server.status())
               || serverLeases
                   .find(server.id())
                   .filter(lease -> lease.incarnation() >= server.incarnation())
                   .isPresent();
-      if (!covered) {
+      if (!hasLease) {
         int leaseMillis =
             Math.max(MIN_SERVER_LEASE_MILLIS, state.serverLeaseMillis(server.id().value()));
         serverLeases.renew(server.id(), server.incarnation(), nowMillis + leaseMillis);
       }
     }
     for (HostState host : view.hosts().values()) {
-      boolean covered =
+      boolean hasLease =
           hostLeases
               .find(host.id())
               .filter(lease -> lease.incarnation() >= host.incarnation())
               .isPresent();
-      if (!covered) {
+      if (!hasLease) {
         hostLeases.renew(host.id(), host.incarnation(), nowMillis + VIEW_LEASE_MILLIS);
       }
     }
--- a/alderyard-control/src/main/java/org/alderyard/control/service/TicketService.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/service/TicketService.java
@@ -24,9 +24,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Orders tickets and drains, and tells how far they are in force. */
+/** Proposes tickets and host drains, and reports on how many hosts a ticket is in force. */
 final class TicketService {
-  /** The most tickets of one listing. */
+  /** Maximum number of tickets in one list. */
   static final int LIST_LIMIT = 200;
 
   private static final Logger log = LoggerFactory.getLogger(TicketService.class);
@@ -46,11 +46,11 @@
 
   CompletableFuture<SubmitTicketReply> submit(SubmitTicketRequest request) {
     Ticket ticket = request.getTicket();
-    Ticket rebuilt = TicketObjects.ticket(ticket.getNumber(), ticket.getObjectsList());
-    if (!rebuilt.getContentHash().equals(ticket.getContentHash())) {
+    Ticket expected = TicketObjects.ticket(ticket.getNumber(), ticket.getObjectsList());
+    if (!expected.getContentHash().equals(ticket.getContentHash())) {
       throw AlderyardException.notRun(
           ErrorCode.MESSAGE_DAMAGED,
-          "ticket " + ticket.getNumber() + " was damaged on its way: its content hash differs");
+          "ticket " + ticket.getNumber() + " was corrupted in transit: content hash mismatch");
     }
     return proposer
         .propose(Command.newBuilder().setTicket(ticket), TicketAnswer.parser())
@@ -75,12 +75,15 @@
     return reply.build();
   }
 
-  /** Answers from a state that a quorum has confirmed. */
+  /**
+   * Returns the status of a ticket, or of the highest numbers for number 0, from a state that a
+   * quorum has confirmed.
+   */
   CompletableFuture<TicketStatusReply> status(TicketStatusRequest request) {
-    return controlLog.readBarrier().thenApply(done -> read(request.getNumber()));
+    return controlLog.readBarrier().thenApply(done -> readTickets(request.getNumber()));
   }
 
-  private TicketStatusReply read(long number) {
+  private TicketStatusReply readTickets(long number) {
     List<TicketAnswer> answers =
         number == 0 ? state.newestTickets(LIST_LIMIT) : state.ticket(number).stream().toList();
     TicketStatusReply.Builder reply = TicketStatusReply.newBuilder().setFloor(state.ticketFloor());
--- a/alderyard-control/src/main/java/org/alderyard/control/service/ViewFeed.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/service/ViewFeed.java
@@ -20,140 +20,152 @@
 import org.alderyard.protocol.view.StateCodec;
 import org.alderyard.protocol.view.ViewChain;
 
-/** The last deltas, and the hosts that wait for the next one. */
+/** Recent deltas of the view, and the pending requests of hosts that wait for the next one. */
 public final class ViewFeed {
-  /** Deltas that are kept for hosts that lag; a host that lags more takes a snapshot. */
-  static final int DELTA_LIMIT = 4_096;
+  /**
+   * Number of deltas that are kept for hosts that lag; a host that lags further gets a snapshot.
+   */
+  static final int MAX_DELTAS = 4_096;
 
-  /** About the largest answer, in bytes; a host that lags takes several. */
-  static final int ANSWER_BYTES = 1 << 20;
+  /** Approximate maximum size of a reply, in bytes; a host that lags may need several replies. */
+  static final int TARGET_REPLY_BYTES = 1 << 20;
 
   private static final Duration MIN_PAUSE = Duration.ofMillis(20);
   private static final Duration PAUSE_PER_HOST = Duration.ofNanos(200_000);
 
   private final WorkerPool workers;
   private final Object lock = new Object();
-  // Guarded by lock. Deltas by the version from which they lead on.
+  // Guarded by lock. The key of a delta is the version that it applies to.
   private ViewChange current = new ViewChange(View.EMPTY, ViewChain.START, Optional.empty());
   private final TreeMap<ViewVersion, ViewDelta> deltas = new TreeMap<>();
-  private final Set<Waiter> waiting = Collections.newSetFromMap(new IdentityHashMap<>());
-  private boolean pausing;
+  private final Set<PendingRequest> pendingRequests =
+      Collections.newSetFromMap(new IdentityHashMap<>());
+  private boolean paused;
 
-  private record Waiter(
-      ViewVersion running, ByteString chainHash, CompletableFuture<ViewNews> answer) {}
+  private record PendingRequest(
+      ViewVersion hostVersion, ByteString chainHash, CompletableFuture<ViewUpdate> reply) {}
 
-  /** Creates a feed of the empty view. */
+  /** Creates a feed that starts with the empty view. */
   public ViewFeed(WorkerPool workers) {
     this.workers = workers;
   }
 
-  /** Takes a new view; called in the order of versions. */
+  /** Publishes a new view. Calls must come in the order of versions. */
   public void publish(ViewChange change) {
     synchronized (lock) {
       if (change.delta().isEmpty()) {
         deltas.clear();
       }
       change.delta().ifPresent(delta -> deltas.put(StateCodec.version(delta.getFrom()), delta));
-      if (deltas.size() > DELTA_LIMIT) {
+      if (deltas.size() > MAX_DELTAS) {
         deltas.pollFirstEntry();
       }
       current = change;
     }
-    answerUnlessPausing();
+    sendUpdatesUnlessPaused();
   }
 
-  /** Returns what is newer than the given version, or nothing when the wait is over. */
-  CompletableFuture<ViewNews> after(ViewVersion running, ByteString chainHash, Duration wait) {
-    Waiter waiter = new Waiter(running, chainHash, new CompletableFuture<>());
-    boolean pending;
+  /**
+   * Returns a future of the update from the given version. The update is empty when there is none
+   * within the wait time.
+   */
+  CompletableFuture<ViewUpdate> awaitUpdate(
+      ViewVersion hostVersion, ByteString chainHash, Duration wait) {
+    PendingRequest request = new PendingRequest(hostVersion, chainHash, new CompletableFuture<>());
+    boolean available;
     synchronized (lock) {
-      waiting.add(waiter);
-      pending = !news(running, chainHash).isNothing();
+      pendingRequests.add(request);
+      available = !updateFrom(hostVersion, chainHash).isEmpty();
     }
-    var timer = workers.schedule(wait, () -> giveUp(waiter));
-    waiter.answer().whenComplete((news, failure) -> timer.cancel(false));
-    if (pending) {
-      answerUnlessPausing();
+    var timer = workers.schedule(wait, () -> completeAfterWait(request));
+    request.reply().whenComplete((update, failure) -> timer.cancel(false));
+    if (available) {
+      sendUpdatesUnlessPaused();
     }
-    return waiter.answer();
+    return request.reply();
   }
 
-  private void giveUp(Waiter waiter) {
+  private void completeAfterWait(PendingRequest request) {
     synchronized (lock) {
-      waiting.remove(waiter);
+      pendingRequests.remove(request);
     }
-    waiter.answer().complete(news(waiter.running(), waiter.chainHash()));
+    request.reply().complete(updateFrom(request.hostVersion(), request.chainHash()));
   }
 
   /**
-   * Answers those who wait for something that is there, then pauses.
+   * Completes the pending requests for which there is an update, then pauses replies.
+   *
+   * <p>The pause prevents an overload of the leader: when 1,000 hosts join, each registration is an
+   * update for all others. The resulting million replies would delay heartbeats, so that hosts lose
+   * their leases, which causes further updates. The pause grows with the number of hosts, which
+   * bounds the rate of replies, and updates during a pause are sent together. An update after a
+   * period without updates is sent immediately.
    *
-   * <p>Guards against a storm: 1,000 hosts join, each joining is a change for all others, and a
-   * million answers keep the leader from the heartbeats, so that hosts lose their leases, which are
-   * changes again. The pause grows with the number of hosts, so the pace of answers is bounded, and
-   * changes in a pause go out together. A change after a quiet time goes out at once. The least
-   * pause serves the return of a dozen hosts: each registers anew, and their views and heartbeats
-   * took the core that callers of the leader waited for.
+   * <p>The minimum pause covers the return of about a dozen hosts: each registers again, and their
+   * views and heartbeats took the CPU core that the leader needed for its callers.
    */
-  private void answerUnlessPausing() {
-    List<Waiter> ready = new ArrayList<>();
+  private void sendUpdatesUnlessPaused() {
+    List<PendingRequest> readyRequests = new ArrayList<>();
     Duration pause;
     synchronized (lock) {
-      if (pausing) {
+      if (paused) {
         return;
       }
-      for (Waiter waiter : waiting) {
-        if (!news(waiter.running(), waiter.chainHash()).isNothing()) {
-          ready.add(waiter);
+      for (PendingRequest request : pendingRequests) {
+        if (!updateFrom(request.hostVersion(), request.chainHash()).isEmpty()) {
+          readyRequests.add(request);
         }
       }
-      if (ready.isEmpty()) {
+      if (readyRequests.isEmpty()) {
         return;
       }
-      ready.forEach(waiting::remove);
-      pausing = true;
-      pause = MIN_PAUSE.plus(PAUSE_PER_HOST.multipliedBy(ready.size()));
+      readyRequests.forEach(pendingRequests::remove);
+      paused = true;
+      pause = MIN_PAUSE.plus(PAUSE_PER_HOST.multipliedBy(readyRequests.size()));
     }
     workers.schedule(pause, this::endPause);
-    for (Waiter waiter : ready) {
-      workers.execute(() -> waiter.answer().complete(news(waiter.running(), waiter.chainHash())));
+    for (PendingRequest request : readyRequests) {
+      workers.execute(
+          () -> request.reply().complete(updateFrom(request.hostVersion(), request.chainHash())));
     }
   }
 
   private void endPause() {
     synchronized (lock) {
-      pausing = false;
+      paused = false;
     }
-    answerUnlessPausing();
+    sendUpdatesUnlessPaused();
   }
 
   /**
-   * Returns what a host at this version needs.
+   * Returns the update for a host at the given version.
    *
-   * <p>Guards against a control host that was cut off for long: a host that restarted has no
-   * version, and deltas from the start would build an old view for it. It gets a snapshot, which
-   * only a confirmed leader hands out. A host that runs a version gets deltas from anybody whose
-   * chain continues its own, which can only bring it forward.
+   * <p>A restarted host has no version, and deltas from the start could build an outdated view if
+   * they come from a control host that was cut off for long. It gets a snapshot, which only a
+   * confirmed leader serves. A host with a version may get deltas from any control host whose chain
+   * continues its own, because these can only move it forward.
    */
-  private ViewNews news(ViewVersion running, ByteString chainHash) {
+  private ViewUpdate updateFrom(ViewVersion hostVersion, ByteString chainHash) {
     synchronized (lock) {
-      int order = running.compareTo(current.view().version());
+      int order = hostVersion.compareTo(current.view().version());
       if (order > 0 || (order == 0 && chainHash.equals(current.chainHash()))) {
-        return ViewNews.NOTHING;
+        return ViewUpdate.NONE;
       }
-      ViewDelta next = deltas.get(running);
-      boolean follows =
-          next != null && !running.equals(ViewVersion.NONE) && ViewChain.continues(chainHash, next);
-      return follows ? new ViewNews(false, from(running)) : ViewNews.SNAPSHOT;
+      ViewDelta next = deltas.get(hostVersion);
+      boolean continuesChain =
+          next != null
+              && !hostVersion.equals(ViewVersion.NONE)
+              && ViewChain.continues(chainHash, next);
+      return continuesChain ? new ViewUpdate(false, deltasFrom(hostVersion)) : ViewUpdate.SNAPSHOT;
     }
   }
 
-  private List<ViewDelta> from(ViewVersion running) {
-    SortedMap<ViewVersion, ViewDelta> tail = deltas.tailMap(running);
+  private List<ViewDelta> deltasFrom(ViewVersion hostVersion) {
+    SortedMap<ViewVersion, ViewDelta> tail = deltas.tailMap(hostVersion);
     List<ViewDelta> result = new ArrayList<>();
     Iterator<ViewDelta> rest = tail.values().iterator();
     int bytes = 0;
-    while (rest.hasNext() && bytes < ANSWER_BYTES) {
+    while (rest.hasNext() && bytes < TARGET_REPLY_BYTES) {
       ViewDelta delta = rest.next();
       bytes += delta.getSerializedSize();
       result.add(delta);
--- a/alderyard-control/src/main/java/org/alderyard/control/service/ViewService.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/service/ViewService.java
@@ -17,16 +17,17 @@
 import org.alderyard.protocol.view.StateCodec;
 import org.alderyard.protocol.view.ViewCodec;
 
-/** Hands out what changed in the view: deltas from any control host, snapshots from the leader. */
+/** Serves updates of the view: deltas from any control host, snapshots from the leader only. */
 final class ViewService {
-  /** The longest wait of one request. */
+  /** Maximum time that a request waits for an update. */
   static final Duration MAX_WAIT = Duration.ofSeconds(10);
 
   /**
-   * The longest wait for a leader. An election after a start takes less; on a control host that is
-   * cut off from the others, a host that wants a view must turn elsewhere soon.
+   * Maximum time that a snapshot request waits for a leader to be known. An election after a start
+   * takes less. A control host that is cut off from the others must fail soon, so that the
+   * requesting host tries another one.
    */
-  static final Duration LEADER_WAIT = Duration.ofMillis(300);
+  static final Duration MAX_LEADER_WAIT = Duration.ofMillis(300);
 
   private final ControlLog controlLog;
   private final ControlState state;
@@ -39,26 +40,26 @@
   }
 
   CompletableFuture<FetchViewReply> fetch(FetchViewRequest request) {
-    Duration asked = Duration.ofMillis(Integer.toUnsignedLong(request.getWaitMillis()));
-    Duration wait = asked.compareTo(MAX_WAIT) > 0 ? MAX_WAIT : asked;
-    Set<String> interest = new HashSet<>(request.getGroupsList());
-    return feed.after(StateCodec.version(request.getRunning()), request.getChainHash(), wait)
+    Duration requestedWait = Duration.ofMillis(Integer.toUnsignedLong(request.getWaitMillis()));
+    Duration wait = requestedWait.compareTo(MAX_WAIT) > 0 ? MAX_WAIT : requestedWait;
+    Set<String> groupFilter = new HashSet<>(request.getGroupsList());
+    return feed.awaitUpdate(StateCodec.version(request.getRunning()), request.getChainHash(), wait)
         .thenCompose(
-            news ->
-                news.needsSnapshot()
-                    ? snapshot(interest, wait)
-                    : CompletableFuture.completedFuture(deltas(news.deltas(), interest)));
+            update ->
+                update.needsSnapshot()
+                    ? snapshot(groupFilter, wait)
+                    : CompletableFuture.completedFuture(deltas(update.deltas(), groupFilter)));
   }
 
   /**
-   * Returns the whole view, once a leader is there to confirm it.
+   * Returns a snapshot of the view once a leader is known and has confirmed it.
    *
-   * <p>Guards against a storm at the worst moment: after a loss of power all hosts want a view, and
-   * while the control hosts elected a leader on cold code, each host asked each of them ten times a
-   * second, over connections of its own.
+   * <p>Waiting for the leader prevents a request storm: after a power loss all hosts need a view,
+   * and while the control hosts elected a leader on cold code, each host polled each of them ten
+   * times a second, over connections of its own.
    */
-  private CompletableFuture<FetchViewReply> snapshot(Set<String> interest, Duration wait) {
-    Duration leaderWait = wait.compareTo(LEADER_WAIT) > 0 ? LEADER_WAIT : wait;
+  private CompletableFuture<FetchViewReply> snapshot(Set<String> groupFilter, Duration wait) {
+    Duration leaderWait = wait.compareTo(MAX_LEADER_WAIT) > 0 ? MAX_LEADER_WAIT : wait;
     return controlLog
         .leaderKnown(leaderWait)
         .thenCompose(done -> controlLog.readBarrier())
@@ -66,42 +67,42 @@
             done -> {
               ViewChange current = state.current();
               ViewSnapshot all = ViewCodec.snapshot(current.view());
-              ViewSnapshot wanted =
+              ViewSnapshot filtered =
                   all.toBuilder()
                       .clearObjects()
-                      .addAllObjects(filter(all.getObjectsList(), interest))
+                      .addAllObjects(filter(all.getObjectsList(), groupFilter))
                       .build();
               return FetchViewReply.newBuilder()
-                  .setSnapshot(wanted)
+                  .setSnapshot(filtered)
                   .setChainHash(current.chainHash())
                   .build();
             });
   }
 
-  private static FetchViewReply deltas(List<ViewDelta> deltas, Set<String> interest) {
-    ViewDeltas.Builder wanted = ViewDeltas.newBuilder().setFiltered(!interest.isEmpty());
+  private static FetchViewReply deltas(List<ViewDelta> deltas, Set<String> groupFilter) {
+    ViewDeltas.Builder filtered = ViewDeltas.newBuilder().setFiltered(!groupFilter.isEmpty());
     for (ViewDelta delta : deltas) {
-      wanted.addDeltas(
-          interest.isEmpty()
+      filtered.addDeltas(
+          groupFilter.isEmpty()
               ? delta
               : delta.toBuilder()
                   .clearObjects()
-                  .addAllObjects(filter(delta.getObjectsList(), interest))
+                  .addAllObjects(filter(delta.getObjectsList(), groupFilter))
                   .build());
     }
-    return FetchViewReply.newBuilder().setDeltas(wanted).build();
+    return FetchViewReply.newBuilder().setDeltas(filtered).build();
   }
 
-  private static List<ObjectState> filter(List<ObjectState> objects, Set<String> interest) {
-    if (interest.isEmpty()) {
+  private static List<ObjectState> filter(List<ObjectState> objects, Set<String> groupFilter) {
+    if (groupFilter.isEmpty()) {
       return objects;
     }
     return objects.stream()
         .filter(
             object ->
                 switch (object.getObjectCase()) {
-                  case GROUP -> interest.contains(object.getGroup().getId());
-                  case SERVER -> interest.contains(object.getServer().getGroup());
+                  case GROUP -> groupFilter.contains(object.getGroup().getId());
+                  case SERVER -> groupFilter.contains(object.getServer().getGroup());
                   default -> true;
                 })
         .toList();
--- a/alderyard-control/src/main/java/org/alderyard/control/service/package-info.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/service/package-info.java
@@ -1,2 +1,2 @@
-/** The control hosts' side of the inner protocol. */
+/** Control host services of the inner protocol: tickets, configurations, leases and views. */
 package org.alderyard.control.service;
--- a/alderyard-control/src/test/java/org/alderyard/control/service/ControlHost.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/service/ControlHost.java
@@ -27,7 +27,7 @@
 import org.alderyard.protocol.view.StateCodec;
 import org.alderyard.protocol.view.ViewFollower;
 
-/** One control host over the fake log. */
+/** A control host whose service and state run over a {@link FakeLog}. */
 final class ControlHost {
   private static final Endpoint ADDRESS =
       Endpoint.newBuilder().setAddress("127.0.0.1").setPort(1).build();
@@ -47,7 +47,7 @@
     service = new ControlService(log, state, feed, clock, InstantSource.system());
   }
 
-  /** Loses everything in memory, and starts from the stored snapshot. */
+  /** Discards the state in memory and restarts from a snapshot. */
   void restart() {
     ViewFeed feed = new ViewFeed(workers);
     state = new ControlState(feed::publish);
@@ -70,7 +70,7 @@
         .join();
   }
 
-  /** Submits tickets with numbers 1 to count, each another state of the same group. */
+  /** Submits tickets with the numbers 1 to count, each with different limits of the same group. */
   void submitMany(int count) {
     for (int number = 1; number <= count; number++) {
       submit(number, group("g1", 1 + number % 90));
@@ -96,7 +96,7 @@
         .join();
   }
 
-  HeartbeatReply heartbeat(String host, long incarnation, ViewFollower running, boolean leaving) {
+  HeartbeatReply heartbeat(String host, long incarnation, ViewFollower follower, boolean leaving) {
     return service
         .registry()
         .heartbeat(
@@ -109,25 +109,25 @@
                         .setInnerAddress(ADDRESS)
                         .setCallerAddress(ADDRESS)
                         .setProxy(true))
-                .setRunning(StateCodec.versionMessage(running.view().version()))
+                .setRunning(StateCodec.versionMessage(follower.view().version()))
                 .setLeaving(leaving)
                 .build())
         .join();
   }
 
-  HeartbeatReply heartbeatOld(String host) {
+  HeartbeatReply heartbeatOfOldIncarnation(String host) {
     return heartbeat(host, 0, ViewFollower.EMPTY, false);
   }
 
-  /** Returns what a proxy gets that runs this view, without a wait. */
-  FetchViewReply fetch(ViewFollower running, String... interest) {
+  /** Fetches the update for a proxy with the given view, without waiting. */
+  FetchViewReply fetch(ViewFollower follower, String... groups) {
     return service
         .views()
         .fetch(
             FetchViewRequest.newBuilder()
-                .setRunning(StateCodec.versionMessage(running.view().version()))
-                .setChainHash(running.chainHash())
-                .addAllGroups(List.of(interest))
+                .setRunning(StateCodec.versionMessage(follower.view().version()))
+                .setChainHash(follower.chainHash())
+                .addAllGroups(List.of(groups))
                 .build())
         .join();
   }
@@ -138,12 +138,12 @@
         : follower.accept(reply.getDeltas());
   }
 
-  static ErrorCode failure(Supplier<?> call) {
+  static ErrorCode failureCode(Supplier<?> call) {
     try {
       call.get();
     } catch (CompletionException failure) {
       return Futures.typed(failure).code();
     }
-    throw new AssertionError("served");
+    throw new AssertionError("expected the call to fail");
   }
 }
--- a/alderyard-control/src/test/java/org/alderyard/control/service/ControlScheduleTest.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/service/ControlScheduleTest.java
@@ -21,34 +21,35 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Operators race, control hosts lag, restart and change the lead, proxies restart, and messages are
- * lost, repeated and late, in seeded random order. A view that went back, or a number with two
- * contents, would undo a change that an operator was told is in force.
+ * Runs seeded random schedules of competing operators, control hosts that lag, restart and change
+ * the leader, proxies that restart, and messages that are lost, duplicated or delayed. Guards
+ * against a view that goes back to an older version, and against a number with two contents: either
+ * would undo a change that was reported to an operator as in force.
  */
 class ControlScheduleTest {
   private static final int STEPS = 12_500;
   private static final int HOSTS = 3;
   private static final int PROXIES = 4;
-  private static final int IN_FLIGHT = 12;
+  private static final int MAX_IN_FLIGHT = 12;
 
   private final PausedClock clock = new PausedClock();
   private final FakeLog log = new FakeLog();
   private final List<ControlHost> hosts = new ArrayList<>();
   private final List<ViewFollower> proxies = new ArrayList<>();
-  private final List<Message> pipe = new ArrayList<>();
-  private final Map<Long, ByteString> contents = new HashMap<>();
-  private final Map<ViewVersion, ByteString> chain = new HashMap<>();
+  private final List<Message> inFlight = new ArrayList<>();
+  private final Map<Long, ByteString> acceptedContents = new HashMap<>();
+  private final Map<ViewVersion, ByteString> chainHashes = new HashMap<>();
   private SplittableRandom random;
   private int lastNumber;
   private int leader;
   private int advanced;
-  private int refused;
+  private int rejected;
 
   private record Message(int proxy, FetchViewReply reply, ViewVersion confirmed) {}
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void viewsNeverGoBackAndNumbersKeepTheirContent(long seed) {
+  void viewsNeverGoBackAndNumbersKeepOneContent(long seed) {
     random = new SplittableRandom(seed);
     try (WorkerPool workers = new WorkerPool("schedule", 1)) {
       for (int i = 0; i < HOSTS; i++) {
@@ -57,100 +58,100 @@
       for (int i = 0; i < PROXIES; i++) {
         proxies.add(ViewFollower.EMPTY);
       }
-      log.lead(hosts.get(0).log);
+      log.elect(hosts.get(0).log);
       for (int step = 0; step < STEPS; step++) {
         step();
       }
-      settle();
+      checkConvergence();
     }
-    // The schedule reached what it is for.
+    // Checks that the schedule covered enough of each case.
     assertThat(advanced).isGreaterThan(500);
-    assertThat(refused).isGreaterThan(50);
-    assertThat(contents.size()).isGreaterThan(300);
+    assertThat(rejected).isGreaterThan(50);
+    assertThat(acceptedContents.size()).isGreaterThan(300);
   }
 
   private void step() {
     switch (random.nextInt(20)) {
       case 0, 1, 2, 3 -> submit();
-      case 4, 5, 6 -> any(hosts).log.applyNext();
-      case 7 -> maybe(10, this::changeLead);
-      case 8 -> maybe(20, () -> any(hosts).restart());
-      case 9 -> maybe(20, this::restartProxy);
-      case 10 -> lose();
+      case 4, 5, 6 -> randomOf(hosts).log.applyNext();
+      case 7 -> runWithProbability(10, this::changeLeader);
+      case 8 -> runWithProbability(20, () -> randomOf(hosts).restart());
+      case 9 -> runWithProbability(20, this::restartProxy);
+      case 10 -> dropMessage();
       case 11, 12, 13, 14 -> fetch(random.nextInt(PROXIES));
       default -> deliver(random.nextInt(4) == 0);
     }
   }
 
-  private void maybe(int oneIn, Runnable action) {
+  private void runWithProbability(int oneIn, Runnable action) {
     if (random.nextInt(oneIn) == 0) {
       action.run();
     }
   }
 
-  private ControlHost any(List<ControlHost> from) {
+  private ControlHost randomOf(List<ControlHost> from) {
     return from.get(random.nextInt(from.size()));
   }
 
-  private void changeLead() {
+  private void changeLeader() {
     leader = random.nextInt(HOSTS);
-    log.lead(hosts.get(leader).log);
+    log.elect(hosts.get(leader).log);
   }
 
   private void submit() {
-    // Half of the submissions use a number that somebody used before.
+    // Half of the submissions reuse a number.
     long number = random.nextBoolean() ? ++lastNumber : 1 + random.nextInt(lastNumber + 1);
     lastNumber = (int) Math.max(lastNumber, number);
     log.loseAnswers(random.nextInt(5) == 0);
     try {
       TicketAnswer answer =
-          any(hosts)
+          randomOf(hosts)
               .submit(number, ControlHost.group("g" + random.nextInt(5), 1 + random.nextInt(3)))
               .getAnswer();
-      ByteString known = contents.putIfAbsent(number, answer.getContentHash());
+      ByteString known = acceptedContents.putIfAbsent(number, answer.getContentHash());
       assertWithMessage("ticket %s has one content", number)
           .that(known == null || known.equals(answer.getContentHash()))
           .isTrue();
       assertThat(answer.getVerdict()).isAnyOf(TicketVerdict.ACCEPTED, TicketVerdict.CONFLICT);
     } catch (CompletionException lostOrNotLeader) {
-      refused++;
+      rejected++;
     }
     log.loseAnswers(false);
-    chain.put(
+    chainHashes.put(
         hosts.get(leader).state.view().version(), hosts.get(leader).state.current().chainHash());
   }
 
   private void restartProxy() {
     int proxy = random.nextInt(PROXIES);
     proxies.set(proxy, ViewFollower.EMPTY);
-    // The connections of the old process are gone.
-    pipe.removeIf(message -> message.proxy() == proxy);
+    // The connections of the old process are closed.
+    inFlight.removeIf(message -> message.proxy() == proxy);
   }
 
   private void fetch(int proxy) {
-    if (pipe.size() == IN_FLIGHT) {
+    if (inFlight.size() == MAX_IN_FLIGHT) {
       return;
     }
     ViewVersion confirmed = hosts.get(leader).state.view().version();
     try {
-      pipe.add(new Message(proxy, any(hosts).fetch(proxies.get(proxy)), confirmed));
+      inFlight.add(new Message(proxy, randomOf(hosts).fetch(proxies.get(proxy)), confirmed));
     } catch (CompletionException notLeader) {
-      refused++;
+      rejected++;
     }
   }
 
-  private void lose() {
-    if (!pipe.isEmpty()) {
-      pipe.remove(random.nextInt(pipe.size()));
+  private void dropMessage() {
+    if (!inFlight.isEmpty()) {
+      inFlight.remove(random.nextInt(inFlight.size()));
     }
   }
 
   private void deliver(boolean repeat) {
-    if (pipe.isEmpty()) {
+    if (inFlight.isEmpty()) {
       return;
     }
-    int place = random.nextInt(pipe.size());
-    Message message = repeat ? pipe.get(place) : pipe.remove(place);
+    int position = random.nextInt(inFlight.size());
+    Message message = repeat ? inFlight.get(position) : inFlight.remove(position);
     ViewFollower before = proxies.get(message.proxy());
     var result = ControlHost.accept(before, message.reply());
     ViewFollower after = result.follower();
@@ -160,19 +161,19 @@
       return;
     }
     advanced++;
-    assertThat(after.chainHash()).isEqualTo(chain.get(after.view().version()));
+    assertThat(after.chainHash()).isEqualTo(chainHashes.get(after.view().version()));
     if (before.equals(ViewFollower.EMPTY)) {
-      assertWithMessage("a start is from a confirmed view")
+      assertWithMessage("the first view of a proxy is confirmed")
           .that(after.view().version())
           .isAtLeast(message.confirmed());
     }
     proxies.set(message.proxy(), after);
   }
 
-  /** Once messages arrive again, every proxy comes to the leader's view. */
-  private void settle() {
-    ControlHost last = hosts.get(leader);
-    var expected = last.state.snapshot();
+  /** Checks that every proxy reaches the leader's view once messages are delivered again. */
+  private void checkConvergence() {
+    ControlHost leaderHost = hosts.get(leader);
+    var expected = leaderHost.state.snapshot();
     for (ControlHost host : hosts) {
       host.log.applyAll();
       assertThat(host.state.snapshot()).isEqualTo(expected);
@@ -180,10 +181,10 @@
     for (int proxy = 0; proxy < PROXIES; proxy++) {
       ViewFollower follower = proxies.get(proxy);
       for (int round = 0; round < 2; round++) {
-        follower = ControlHost.accept(follower, last.fetch(follower)).follower();
+        follower = ControlHost.accept(follower, leaderHost.fetch(follower)).follower();
       }
-      assertThat(follower.chainHash()).isEqualTo(last.state.current().chainHash());
-      assertThat(follower.view().groups()).isEqualTo(last.state.view().groups());
+      assertThat(follower.chainHash()).isEqualTo(leaderHost.state.current().chainHash());
+      assertThat(follower.view().groups()).isEqualTo(leaderHost.state.view().groups());
     }
   }
 }
--- a/alderyard-control/src/test/java/org/alderyard/control/service/ControlServiceTest.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/service/ControlServiceTest.java
@@ -2,7 +2,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 import static org.alderyard.control.service.ControlHost.announcement;
-import static org.alderyard.control.service.ControlHost.failure;
+import static org.alderyard.control.service.ControlHost.failureCode;
 import static org.alderyard.control.service.ControlHost.group;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
@@ -26,7 +26,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Control hosts that come, go and return, and what operators, servers and proxies then see. */
+/**
+ * Leader changes, restarts and partitions of control hosts, as seen by operators, servers and
+ * proxies.
+ */
 class ControlServiceTest {
   private static final ServerId SERVER = new ServerId("s1");
 
@@ -38,7 +41,7 @@
 
   @BeforeEach
   void elect() {
-    log.lead(first.log);
+    log.elect(first.log);
   }
 
   @AfterEach
@@ -50,39 +53,43 @@
     return host.state.view().server(SERVER).orElseThrow().status();
   }
 
-  private void pass(ControlHost host, long millis) {
+  private void advance(ControlHost host, long millis) {
     for (long step = 0; step < millis; step += 100) {
       clock.advance(Duration.ofMillis(100));
-      host.service.registry().sweep();
+      host.service.registry().expireLeases();
     }
   }
 
   /**
-   * An operator sends ticket 1 to the leader; it is committed, but the leader dies before the
-   * answer is sent. The operator resends through the new leader, which answers as the first would
-   * have; a colleague who races with the same number gets the conflict.
+   * The leader fails after it has committed ticket 1 but before it sends the answer. A resend to
+   * the new leader must get the answer of the first attempt, and different content for the same
+   * number must get a conflict.
    */
   @Test
-  void resendAfterLostAnswerDuringLeaderChangeGetsTheFirstAnswer() {
+  void resendAfterLostAnswerAndLeaderChangeGetsFirstAnswer() {
     log.loseAnswers(true);
-    assertThat(failure(() -> first.submit(1, group("g1", 2)))).isEqualTo(ErrorCode.CONNECTION_LOST);
+    assertThat(failureCode(() -> first.submit(1, group("g1", 2))))
+        .isEqualTo(ErrorCode.CONNECTION_LOST);
     log.loseAnswers(false);
-    assertThat(failure(() -> second.submit(1, group("g1", 2)))).isEqualTo(ErrorCode.NOT_LEADER);
-    log.lead(second.log);
+    assertThat(failureCode(() -> second.submit(1, group("g1", 2)))).isEqualTo(ErrorCode.NOT_LEADER);
+    log.elect(second.log);
 
-    var again = second.submit(1, group("g1", 2)).getAnswer();
-    var raced = second.submit(1, group("g1", 3)).getAnswer();
+    var resent = second.submit(1, group("g1", 2)).getAnswer();
+    var competing = second.submit(1, group("g1", 3)).getAnswer();
 
-    assertThat(again.getVerdict()).isEqualTo(TicketVerdict.ACCEPTED);
-    assertThat(again.getAcceptedVersion().getVersion()).isEqualTo(1);
-    assertThat(raced.getVerdict()).isEqualTo(TicketVerdict.CONFLICT);
-    assertThat(raced.getContentHash()).isEqualTo(again.getContentHash());
+    assertThat(resent.getVerdict()).isEqualTo(TicketVerdict.ACCEPTED);
+    assertThat(resent.getAcceptedVersion().getVersion()).isEqualTo(1);
+    assertThat(competing.getVerdict()).isEqualTo(TicketVerdict.CONFLICT);
+    assertThat(competing.getContentHash()).isEqualTo(resent.getContentHash());
     assertThat(second.state.view().version().version()).isEqualTo(1);
   }
 
-  /** Guards against a 400 for an operator whose ticket was damaged between two hosts. */
+  /**
+   * A ticket that is corrupted between two hosts must not be reported to the operator as a bad
+   * request (status 400).
+   */
   @Test
-  void ticketThatWasDamagedOnItsWayDoesNotBlameTheOperator() {
+  void ticketCorruptedInTransitIsNotReportedAsBadRequest() {
     Ticket ticket = TicketObjects.ticket(1, List.of(group("g1", 2)));
     SubmitTicketRequest damaged =
         SubmitTicketRequest.newBuilder().setTicket(ticket.toBuilder().setNumber(2)).build();
@@ -95,22 +102,21 @@
   }
 
   /**
-   * A control host sat behind a partition while 300 tickets passed. It returns with its old view
-   * and a ticket that an operator gave it long ago. A proxy that just started asks it, a running
-   * one too: neither may get the old view, and the ticket is refused there.
+   * A control host returns from a partition during which 300 tickets were accepted. Neither a newly
+   * started proxy nor a running one may receive its old view, and it must reject a delayed ticket.
    */
   @Test
-  void returningControlHostBringsNoOldViewAndNoDelayedTicket() {
+  void returningControlHostServesNoOldViewAndRejectsDelayedTicket() {
     first.submitMany(10);
     second.log.applyAll();
-    ViewFollower running = follow(first, ViewFollower.EMPTY);
+    ViewFollower running = catchUp(first, ViewFollower.EMPTY);
     first.submitMany(300);
-    running = follow(first, running);
+    running = catchUp(first, running);
 
-    assertThat(failure(() -> second.fetch(ViewFollower.EMPTY))).isEqualTo(ErrorCode.NOT_LEADER);
+    assertThat(failureCode(() -> second.fetch(ViewFollower.EMPTY))).isEqualTo(ErrorCode.NOT_LEADER);
     var late = ControlHost.accept(running, second.fetch(running));
     assertThat(late.follower()).isEqualTo(running);
-    assertThat(failure(() -> second.submit(5, group("g1", 1)))).isEqualTo(ErrorCode.NOT_LEADER);
+    assertThat(failureCode(() -> second.submit(5, group("g1", 1)))).isEqualTo(ErrorCode.NOT_LEADER);
 
     second.log.applyAll();
     first.submit(500, group("g9", 1));
@@ -121,7 +127,7 @@
         .isEqualTo(TicketVerdict.CONFLICT);
   }
 
-  private static ViewFollower follow(ControlHost host, ViewFollower from) {
+  private static ViewFollower catchUp(ControlHost host, ViewFollower from) {
     ViewFollower current = from;
     while (true) {
       var result = ControlHost.accept(current, host.fetch(current));
@@ -132,9 +138,11 @@
     }
   }
 
-  /** A proxy restarts after hundreds of changes: it starts from the leader's view, not its own. */
+  /**
+   * A proxy that restarts after hundreds of changes starts from a snapshot of the leader's view.
+   */
   @Test
-  void restartedProxyStartsFromConfirmedSnapshotAndGoesOnByDeltas() {
+  void restartedProxyStartsFromConfirmedSnapshotAndContinuesWithDeltas() {
     first.submitMany(300);
     var snapshot = first.fetch(ViewFollower.EMPTY);
     assertThat(snapshot.hasSnapshot()).isTrue();
@@ -148,13 +156,11 @@
     assertThat(follower.view().group(new GroupId("g1")).get().slotsPerServer()).isEqualTo(42);
   }
 
-  /**
-   * After the restart of a control host its deltas are gone; a proxy that lags takes a snapshot.
-   */
+  /** A restarted control host has no deltas, so a proxy that lags gets a snapshot. */
   @Test
   void restartedControlHostAnswersLaggingProxyWithSnapshot() {
     first.submitMany(20);
-    ViewFollower old = follow(first, ViewFollower.EMPTY);
+    ViewFollower old = catchUp(first, ViewFollower.EMPTY);
     first.submit(100, group("g1", 7));
     first.restart();
 
@@ -166,7 +172,7 @@
   }
 
   @Test
-  void interestLeavesOutOtherGroupsAndTheirServers() {
+  void groupFilterOmitsOtherGroupsAndTheirServers() {
     first.submit(1, group("g1", 2), group("g2", 2));
     first.announce(announcement("s1", 1));
     ViewFollower follower =
@@ -181,18 +187,18 @@
     assertThat(follower.view().group(new GroupId("g2")).get().slotsPerServer()).isEqualTo(4);
   }
 
-  /** A server's host loses power: no announcement comes any more, and nobody says that it left. */
+  /** A server stops without deregistration, as after a power loss of its host. */
   @Test
   void serverWithoutAnnouncementsExpiresWithItsLease() {
     first.announce(announcement("s1", 1));
-    pass(first, 1_400);
+    advance(first, 1_400);
     assertThat(status(first)).isEqualTo(ServerStatus.ACTIVE);
     first.announce(announcement("s1", 1));
     long commands = log.lastIndex();
-    pass(first, 1_400);
+    advance(first, 1_400);
     assertThat(status(first)).isEqualTo(ServerStatus.ACTIVE);
     assertThat(log.lastIndex()).isEqualTo(commands);
-    pass(first, 200);
+    advance(first, 200);
     assertThat(status(first)).isEqualTo(ServerStatus.EXPIRED);
 
     first.announce(announcement("s1", 1));
@@ -200,11 +206,11 @@
   }
 
   /**
-   * A server says that it leaves, and is replaced under its name. Announcements of before, held
-   * back by a partition, then arrive: work sent there would find a dead process.
+   * A server leaves and is replaced under the same name. Delayed announcements from before must not
+   * make it active again, because requests would be sent to a stopped process.
    */
   @Test
-  void lateAnnouncementsReviveNeitherLeavingServerNorEarlierIncarnation() {
+  void delayedAnnouncementsActivateNeitherLeavingServerNorEarlierIncarnation() {
     first.announce(announcement("s1", 5));
     first.announce(announcement("s1", 5).setLeaving(true));
     assertThat(first.announce(announcement("s1", 5)).getStaleServersList()).containsExactly("s1");
@@ -212,65 +218,66 @@
 
     first.announce(announcement("s1", 6));
     assertThat(first.announce(announcement("s1", 5)).getStaleServersList()).containsExactly("s1");
-    pass(first, 1_600);
+    advance(first, 1_600);
     assertThat(status(first)).isEqualTo(ServerStatus.EXPIRED);
     assertThat(first.announce(announcement("s1", 5)).getStaleServersList()).containsExactly("s1");
     assertThat(status(first)).isEqualTo(ServerStatus.EXPIRED);
   }
 
   /**
-   * The leader dies just before a lease would end. Its successor has seen no renewal; ending the
-   * lease at once would take a healthy server out of service. When the first leader leads again,
-   * its table of before must not end leases either.
+   * The leader fails just before a lease would end. Its successor has received no renewal, and
+   * ending the lease immediately would remove a healthy server. When the first leader is elected
+   * again, its old lease table must not end leases either.
    */
   @Test
-  void newLeaderGivesEveryLeaseFullPeriod() {
+  void newLeaderGrantsEveryLeaseFullPeriod() {
     first.announce(announcement("s1", 1));
-    pass(first, 1_400);
-    log.lead(second.log);
-    pass(second, 1_400);
+    advance(first, 1_400);
+    log.elect(second.log);
+    advance(second, 1_400);
     assertThat(status(second)).isEqualTo(ServerStatus.ACTIVE);
-    log.lead(first.log);
-    pass(first, 1_400);
+    log.elect(first.log);
+    advance(first, 1_400);
     assertThat(status(first)).isEqualTo(ServerStatus.ACTIVE);
-    pass(first, 300);
+    advance(first, 300);
     assertThat(status(first)).isEqualTo(ServerStatus.EXPIRED);
   }
 
   /**
-   * Three proxies run; one acknowledges a ticket, one hangs, one shuts down. The operator sees the
-   * hanging one in "N of M" until its lease ran out, and the one that left not at all.
+   * Of three proxies one acknowledges a ticket, one hangs and one shuts down. The hanging proxy
+   * counts in "N of M" until its lease ends; the proxy that left does not count.
    */
   @Test
-  void ticketIsInForceOnHostsThatAcknowledgedOfThoseWithLease() {
+  void ticketProgressCountsAcknowledgingHostsOfHostsWithLease() {
     ViewFollower none = ViewFollower.EMPTY;
     for (String host : new String[] {"h1", "h2", "h3"}) {
       first.heartbeat(host, 1, none, false);
     }
     first.submit(1, group("g1", 2));
-    ViewFollower running = follow(first, none);
+    ViewFollower running = catchUp(first, none);
     first.heartbeat("h3", 1, running, true);
     first.heartbeat("h1", 1, running, false);
     assertThat(inForce(1)).isEqualTo("1 of 2");
 
-    pass(first, 2_000);
+    advance(first, 2_000);
     first.heartbeat("h1", 1, running, false);
-    pass(first, 1_100);
+    advance(first, 1_100);
     assertThat(inForce(1)).isEqualTo("1 of 1");
     for (int second = 0; second < 8; second++) {
       first.heartbeat("h1", 1, running, false);
-      pass(first, 1_000);
+      advance(first, 1_000);
     }
     assertThat(first.state.view().hosts().keySet()).containsExactly(new HostId("h1"));
-    assertThat(failure(() -> first.heartbeatOld("h1"))).isEqualTo(ErrorCode.PEER_REJECTED);
+    assertThat(failureCode(() -> first.heartbeatOfOldIncarnation("h1")))
+        .isEqualTo(ErrorCode.PEER_REJECTED);
   }
 
-  /** A proxy that was busy while 300 changes passed catches up with one answer. */
+  /** A proxy that lags by 300 changes gets all of them in one reply. */
   @Test
-  void laggingHostGetsAllDeltasInOneAnswer() {
-    ViewFollower follower = follow(first, ViewFollower.EMPTY);
+  void laggingHostGetsAllDeltasInOneReply() {
+    ViewFollower follower = catchUp(first, ViewFollower.EMPTY);
     first.submit(1, group("g1", 1));
-    follower = follow(first, follower);
+    follower = catchUp(first, follower);
     int answers = 0;
     for (int number = 2; number <= 301; number++) {
       first.submit(number, group("g1", 1 + number % 90));
--- a/alderyard-control/src/test/java/org/alderyard/control/service/FakeLog.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/service/FakeLog.java
@@ -11,13 +11,16 @@
 import org.alderyard.control.log.ControlLog;
 import org.alderyard.control.log.StateMachine;
 
-/** One committed order of commands, and the hosts that apply it when the test says so. */
+/**
+ * In-memory log with one sequence of committed commands, which each replica applies when the test
+ * requests it.
+ */
 final class FakeLog {
   private final List<ByteString> committed = new ArrayList<>();
   private final List<Replica> replicas = new ArrayList<>();
   private Replica leader;
   private long term;
-  private boolean answersLost;
+  private boolean loseAnswers;
 
   Replica replica(String host, StateMachine machine) {
     Replica replica = new Replica(new HostId(host), machine);
@@ -25,15 +28,15 @@
     return replica;
   }
 
-  void lead(Replica replica) {
+  void elect(Replica replica) {
     leader = replica;
     term++;
     replica.applyAll();
   }
 
-  /** While set, commands are committed and their answers get lost. */
+  /** While set, proposed commands are committed but fail with a lost answer. */
   void loseAnswers(boolean lost) {
-    answersLost = lost;
+    loseAnswers = lost;
   }
 
   long lastIndex() {
@@ -50,7 +53,7 @@
       this.machine = machine;
     }
 
-    /** Applies the next command, if there is one. */
+    /** Applies the next command. Returns false if there is none. */
     boolean applyNext() {
       if (applied == committed.size()) {
         return false;
@@ -62,15 +65,15 @@
 
     void applyAll() {
       while (applyNext()) {
-        // Goes on to the end.
+        // Applies all remaining commands.
       }
     }
 
-    /** Restarts with a new state that is restored from the old one's snapshot. */
-    void restart(StateMachine fresh) {
+    /** Replaces the state machine by one that is restored from the current snapshot. */
+    void restart(StateMachine newMachine) {
       ByteString snapshot = machine.snapshot();
-      machine = fresh;
-      fresh.restore(applied, snapshot);
+      machine = newMachine;
+      newMachine.restore(applied, snapshot);
     }
 
     @Override
@@ -82,9 +85,9 @@
       committed.add(command);
       applied++;
       ByteString answer = machine.apply(applied, command);
-      return answersLost
+      return loseAnswers
           ? CompletableFuture.failedFuture(
-              AlderyardException.unknown(ErrorCode.CONNECTION_LOST, "the answer was lost", null))
+              AlderyardException.unknown(ErrorCode.CONNECTION_LOST, "the reply was lost", null))
           : CompletableFuture.completedFuture(answer);
     }
 
@@ -99,7 +102,7 @@
 
     private <T> CompletableFuture<T> notLeader() {
       return CompletableFuture.failedFuture(
-          AlderyardException.notRun(ErrorCode.NOT_LEADER, host + " does not lead"));
+          AlderyardException.notRun(ErrorCode.NOT_LEADER, host + " is not the leader"));
     }
 
     @Override
