--- a/alderyard-control/src/main/java/org/alderyard/control/log/ControlLog.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/log/ControlLog.java
@@ -8,45 +8,46 @@
 import java.util.concurrent.CompletableFuture;
 import org.alderyard.common.id.HostId;
 
-/** A log of commands that all control hosts apply in the same order. */
+/** Ordered log of commands that every control host applies in the same sequence. */
 public interface ControlLog extends AutoCloseable {
 
   /**
    * Appends a command.
    *
    * @param command the serialized command
-   * @return the answer of the {@link StateMachine} once the command is committed and applied here.
-   *     Fails with {@code NOT_LEADER} and {@code NOT_RUN} when this host does not lead, and with
-   *     {@code OUTCOME_UNKNOWN} when leadership was lost before the outcome was known.
+   * @return the result of the {@link StateMachine}, once the command is committed and applied on
+   *     this host. Fails with {@code NOT_LEADER} and {@code NOT_RUN} if this host is not the
+   *     leader, and with {@code OUTCOME_UNKNOWN} if the host loses leadership before the outcome is
+   *     known.
    */
   CompletableFuture<ByteString> propose(ByteString command);
 
   /**
-   * Confirms with a quorum that this host leads.
+   * Confirms with a quorum that this host is the leader, for a linearizable read.
    *
-   * @return completes once the state machine holds every command that was committed before the
-   *     call; fails with {@code NOT_LEADER} otherwise
+   * @return a future that completes once the state machine has applied every command committed
+   *     before the call, and fails with {@code NOT_LEADER} if this host is not the leader
    */
   CompletableFuture<Void> readBarrier();
 
-  /** Returns whether this host believes that it leads. */
+  /** Returns whether this host presumes that it is the leader; no quorum is asked. */
   boolean leading();
 
-  /** Returns the host that is believed to lead. */
+  /** Returns the presumed leader, or empty if none is known. */
   Optional<HostId> leader();
 
   /**
-   * Returns a future that is done when somebody is known to lead and, if that is this host, holds
-   * all that was committed before; or when the time is over.
+   * Returns a future that completes when a leader is known or the timeout expires. If this host is
+   * the leader, the future also waits until the host has applied all earlier committed commands.
    */
-  default CompletableFuture<Void> leaderKnown(Duration limit) {
+  default CompletableFuture<Void> leaderKnown(Duration timeout) {
     return CompletableFuture.completedFuture(null);
   }
 
-  /** Returns the term of the log, which only grows. */
+  /** Returns the current term, which never decreases. */
   long term();
 
-  /** Returns the inner addresses of the hosts that hold the log, as far as this host knows them. */
+  /** Returns the inner addresses of the log's members that are known to this host. */
   default List<InetSocketAddress> memberAddresses() {
     return List.of();
   }
--- a/alderyard-control/src/main/java/org/alderyard/control/log/Formation.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/log/Formation.java
@@ -12,124 +12,128 @@
 import org.alderyard.protocol.generated.raft.MemberList;
 
 /**
- * Decides whether a host with a new data folder founds a cluster or joins one.
+ * Decides whether a host with a new data folder founds a cluster or joins an existing one.
  *
- * <p>Guards against a wiped voter that starts like a new one: it would give its vote a second time,
- * or help to elect a leader that lacks accepted changes. So a cluster is founded only once all
- * hosts of the settings have recorded the same list of replica ids, and a host whose id is not in
- * the list of a host that takes part already is a newcomer, which learns before it votes.
+ * <p>A cluster is founded only after all hosts in the settings have recorded the same list of
+ * replica ids. A host whose replica id is missing from the list of an active member is a newcomer,
+ * which becomes a learner before it may vote. Otherwise a voter whose disk was wiped could vote
+ * twice in a term, or help to elect a leader that lacks committed entries.
  */
 final class Formation {
 
   private Formation() {}
 
   /**
-   * What to do next.
+   * The next step of a host that is not part of a cluster yet.
    *
-   * @param action the step
-   * @param founders the list to record, where the step has one
-   * @param reason why, for the log line
+   * @param action the step to take
+   * @param founders the founders to record; empty for {@code WAIT} and {@code JOIN}
+   * @param reason the reason, as it is logged
    */
   record Decision(Action action, MemberList founders, String reason) {}
 
-  /** The steps of a formation. */
+  /** The steps by which a host becomes part of a cluster. */
   enum Action {
-    /** Ask again later. */
+    /** Retry later. */
     WAIT,
-    /** Record the list as the one to found the cluster with, and ask again. */
+    /** Record the list of founders, then ask the other hosts again. */
     RECORD,
-    /** Take part with this list of founders. */
+    /** Open the log with this list of founders as voters. */
     FOUND,
-    /** Take part without a vote until a leader takes this replica in. */
+    /** Open the log without a vote, until a leader adds this replica. */
     JOIN
   }
 
   /**
-   * Decides from one round of answers.
+   * Decides the next step from the replies of one join round.
    *
    * @param self this host as a member
-   * @param identity what this host has recorded
-   * @param others the inner addresses of the other hosts of the settings, as {@code ip:port}
-   * @param replies the answers of this round by address; a host that gave none is missing
+   * @param identity the identity recorded in the data folder of this host
+   * @param others the inner addresses of the other hosts in the settings, as {@code ip:port}
+   * @param replies the replies of this round by address, without hosts that did not reply
    */
   static Decision decide(
       Member self, FolderIdentity identity, List<String> others, Map<String, JoinReply> replies) {
-    Optional<MemberList> founded =
+    Optional<MemberList> knownFounders =
         replies.values().stream()
             .filter(JoinReply::getFormed)
             .map(JoinReply::getFounders)
             .filter(founders -> founders.getMembersCount() > 0)
             .findFirst();
-    if (founded.isPresent()) {
-      return follow(self, founded.get());
+    if (knownFounders.isPresent()) {
+      return foundOrJoin(self, knownFounders.get());
     }
     if (replies.values().stream().anyMatch(JoinReply::getFormed)) {
-      return followNewcomers(identity, others, replies);
+      return decideWithoutFounders(identity, others, replies);
     }
     if (replies.size() < others.size()) {
-      return waiting("hosts-missing");
+      return waitDecision("hosts-missing");
     }
-    MemberList heard = founders(self, others, replies);
-    long ids = heard.getMembersList().stream().map(Member::getReplicaId).distinct().count();
-    if (ids < heard.getMembersCount()) {
-      return waiting("replica-ids-collide");
+    MemberList proposedFounders = collectFounders(self, others, replies);
+    long distinctIds =
+        proposedFounders.getMembersList().stream().map(Member::getReplicaId).distinct().count();
+    if (distinctIds < proposedFounders.getMembersCount()) {
+      return waitDecision("replica-ids-collide");
     }
-    if (!identity.getFounders().equals(heard)) {
-      return new Decision(Action.RECORD, heard, "founders-heard");
+    if (!identity.getFounders().equals(proposedFounders)) {
+      return new Decision(Action.RECORD, proposedFounders, "founders-heard");
     }
-    boolean agreed = replies.values().stream().allMatch(reply -> reply.getFounders().equals(heard));
-    return agreed
-        ? new Decision(Action.FOUND, heard, "founders-agreed")
-        : waiting("founders-differ");
+    boolean allAgree =
+        replies.values().stream().allMatch(reply -> reply.getFounders().equals(proposedFounders));
+    return allAgree
+        ? new Decision(Action.FOUND, proposedFounders, "founders-agreed")
+        : waitDecision("founders-differ");
   }
 
   /**
-   * Decides for a host that may not found: it joins as soon as a host answers that takes part.
+   * Decides the next step of a host that may not found a cluster: the host joins as soon as an
+   * active member replies.
    *
-   * <p>Guards against hosts that lost their disks, all at once or one by one: they would found a
-   * second cluster beside the first.
+   * <p>Hosts that lose their disks, simultaneously or one after the other, would otherwise found a
+   * second cluster next to the first.
    */
   static Decision decideToJoin(Member self, Map<String, JoinReply> replies) {
-    boolean cluster = replies.values().stream().anyMatch(JoinReply::getFormed);
-    if (!cluster) {
-      return waiting("no-cluster-found");
+    boolean clusterExists = replies.values().stream().anyMatch(JoinReply::getFormed);
+    if (!clusterExists) {
+      return waitDecision("no-cluster-found");
     }
     return replies.values().stream()
         .filter(JoinReply::getFormed)
         .map(JoinReply::getFounders)
         .filter(founders -> founders.getMembersCount() > 0)
         .findFirst()
-        .map(founders -> follow(self, founders))
+        .map(founders -> foundOrJoin(self, founders))
         .orElseGet(
             () -> new Decision(Action.JOIN, MemberList.getDefaultInstance(), "not-a-founder"));
   }
 
-  private static Decision follow(Member self, MemberList founders) {
-    boolean founder =
+  private static Decision foundOrJoin(Member self, MemberList founders) {
+    boolean isFounder =
         founders.getMembersList().stream()
             .anyMatch(member -> member.getReplicaId() == self.getReplicaId());
-    return founder
+    return isFounder
         ? new Decision(Action.FOUND, founders, "founded-by-others")
         : new Decision(Action.JOIN, MemberList.getDefaultInstance(), "not-a-founder");
   }
 
   /**
-   * Decides when only hosts that joined later answered: a cluster exists, and they don't know who
-   * founded it. To join is safe for anyone; a host that may be a founder first asks all others.
+   * Decides the next step when the only active members that replied joined later: a cluster exists,
+   * but these members do not know its founders. Joining is always safe. A host that may be a
+   * founder first waits for the replies of all other hosts.
    */
-  private static Decision followNewcomers(
+  private static Decision decideWithoutFounders(
       FolderIdentity identity, List<String> others, Map<String, JoinReply> replies) {
     boolean mayBeFounder = identity.getFounders().getMembersCount() > 0;
     return mayBeFounder && replies.size() < others.size()
-        ? waiting("founders-missing")
+        ? waitDecision("founders-missing")
         : new Decision(Action.JOIN, MemberList.getDefaultInstance(), "not-a-founder");
   }
 
-  private static Decision waiting(String reason) {
+  private static Decision waitDecision(String reason) {
     return new Decision(Action.WAIT, MemberList.getDefaultInstance(), reason);
   }
 
-  private static MemberList founders(
+  private static MemberList collectFounders(
       Member self, List<String> others, Map<String, JoinReply> replies) {
     List<Member> members = new ArrayList<>();
     for (String other : others) {
--- a/alderyard-control/src/main/java/org/alderyard/control/log/JoinRounds.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/log/JoinPoller.java
@@ -11,30 +11,30 @@
 import org.alderyard.protocol.generated.raft.Member;
 import org.alderyard.protocol.wire.PeerLinks;
 
-/** Asks all other hosts who they are, one round after the other; used on the loop only. */
-final class JoinRounds {
+/** Sends join requests to all other hosts, one round at a time. Used only on the serial loop. */
+final class JoinPoller {
   private final PeerLinks links;
   private final SerialLoop loop;
   private final ReplicatedLogOptions options;
   private final Member self;
-  private final Supplier<Map<String, InetSocketAddress>> addresses;
+  private final Supplier<Map<String, InetSocketAddress>> addressSource;
   private Map<String, InetSocketAddress> others = Map.of();
   private final Consumer<Map<String, JoinReply>> onRound;
   private Map<String, JoinReply> replies = new HashMap<>();
-  private int outstanding;
+  private int pendingReplies;
 
-  JoinRounds(
+  JoinPoller(
       PeerLinks links,
       SerialLoop loop,
       ReplicatedLogOptions options,
       Member self,
-      Supplier<Map<String, InetSocketAddress>> addresses,
+      Supplier<Map<String, InetSocketAddress>> addressSource,
       Consumer<Map<String, JoinReply>> onRound) {
     this.links = links;
     this.loop = loop;
     this.options = options;
     this.self = self;
-    this.addresses = addresses;
+    this.addressSource = addressSource;
     this.onRound = onRound;
   }
 
@@ -42,34 +42,34 @@
     return List.copyOf(others.keySet());
   }
 
-  /** Starts a round unless one is under way; answers of one round never mix with another's. */
-  void start(boolean newcomer) {
-    if (outstanding > 0) {
+  /** Starts a round unless one is in progress, so that replies of different rounds never mix. */
+  void startRound(boolean newcomer) {
+    if (pendingReplies > 0) {
       return;
     }
     replies = new HashMap<>();
-    others = addresses.get();
+    others = addressSource.get();
     if (others.isEmpty()) {
       onRound.accept(replies);
       return;
     }
-    outstanding = others.size();
+    pendingReplies = others.size();
     JoinRequest request = JoinRequest.newBuilder().setSelf(self).setNewcomer(newcomer).build();
     others.forEach(
-        (endpoint, address) ->
+        (peer, address) ->
             links
                 .to(address)
                 .call(RaftMethods.JOIN, request, options.sendTimeout())
                 .whenComplete(
-                    (reply, failure) -> loop.submit(() -> answered(endpoint, reply, failure))));
+                    (reply, failure) -> loop.submit(() -> onReply(peer, reply, failure))));
   }
 
-  private void answered(String endpoint, JoinReply reply, Throwable failure) {
+  private void onReply(String peer, JoinReply reply, Throwable failure) {
     if (failure == null) {
-      replies.put(endpoint, reply);
+      replies.put(peer, reply);
     }
-    outstanding--;
-    if (outstanding == 0) {
+    pendingReplies--;
+    if (pendingReplies == 0) {
       onRound.accept(replies);
     }
   }
--- a/alderyard-control/src/main/java/org/alderyard/control/log/LeaderWaits.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/log/LeaderWaits.java
@@ -7,39 +7,42 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 
-/** Those who wait until somebody is known to lead. Lock: the object itself, a leaf. */
+/**
+ * Futures that wait until a leader is known. The lock is the object itself; no other lock is taken
+ * while the lock is held.
+ */
 final class LeaderWaits {
   // Guarded by this.
-  private final Set<CompletableFuture<Void>> waiting = new LinkedHashSet<>();
-  private boolean known;
+  private final Set<CompletableFuture<Void>> pending = new LinkedHashSet<>();
+  private boolean leaderKnown;
 
-  /** Takes in whether somebody leads; called for each status of the log. */
-  void update(boolean leaderKnown) {
-    List<CompletableFuture<Void>> done = List.of();
+  /** Records whether a leader is known; called for each new status of the log. */
+  void setLeaderKnown(boolean known) {
+    List<CompletableFuture<Void>> completed = List.of();
     synchronized (this) {
-      known = leaderKnown;
-      if (known && !waiting.isEmpty()) {
-        done = List.copyOf(waiting);
-        waiting.clear();
+      leaderKnown = known;
+      if (leaderKnown && !pending.isEmpty()) {
+        completed = List.copyOf(pending);
+        pending.clear();
       }
     }
-    done.forEach(waiter -> waiter.complete(null));
+    completed.forEach(future -> future.complete(null));
   }
 
-  /** Returns a future that is done when somebody leads, or when the time is over. */
-  CompletableFuture<Void> await(Duration limit) {
-    CompletableFuture<Void> waiter = new CompletableFuture<>();
+  /** Returns a future that completes when a leader is known or the timeout expires. */
+  CompletableFuture<Void> awaitLeader(Duration timeout) {
+    CompletableFuture<Void> future = new CompletableFuture<>();
     synchronized (this) {
-      if (known) {
+      if (leaderKnown) {
         return CompletableFuture.completedFuture(null);
       }
-      waiting.add(waiter);
+      pending.add(future);
     }
-    waiter.completeOnTimeout(null, limit.toMillis(), TimeUnit.MILLISECONDS);
-    return waiter.whenComplete((done, failure) -> remove(waiter));
+    future.completeOnTimeout(null, timeout.toMillis(), TimeUnit.MILLISECONDS);
+    return future.whenComplete((completed, failure) -> remove(future));
   }
 
-  private synchronized void remove(CompletableFuture<Void> waiter) {
-    waiting.remove(waiter);
+  private synchronized void remove(CompletableFuture<Void> future) {
+    pending.remove(future);
   }
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/log/LocalLog.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/log/LocalLog.java
@@ -5,23 +5,23 @@
 import java.util.concurrent.CompletableFuture;
 import org.alderyard.common.id.HostId;
 
-/** A log on one host that keeps nothing: for tests and for a trial on a single machine. */
+/** In-memory log of a single host, for tests and evaluation. All commands are lost on exit. */
 public final class LocalLog implements ControlLog {
   private final HostId host;
-  private final StateMachine machine;
+  private final StateMachine stateMachine;
   // Guarded by this.
   private long lastIndex;
 
-  /** Creates an empty log. */
-  public LocalLog(HostId host, StateMachine machine) {
+  /** Creates an empty log that applies each command immediately. */
+  public LocalLog(HostId host, StateMachine stateMachine) {
     this.host = host;
-    this.machine = machine;
+    this.stateMachine = stateMachine;
   }
 
   @Override
   public synchronized CompletableFuture<ByteString> propose(ByteString command) {
     lastIndex++;
-    return CompletableFuture.completedFuture(machine.apply(lastIndex, command));
+    return CompletableFuture.completedFuture(stateMachine.apply(lastIndex, command));
   }
 
   @Override
--- a/alderyard-control/src/main/java/org/alderyard/control/log/LogDriver.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/log/LogDriver.java
@@ -12,45 +12,48 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Performs the effects of the core on disk, network and state machine; used on the loop only. */
+/**
+ * Applies the effects of the Raft core to the disk, the network and the state machine. Used only on
+ * the serial loop.
+ */
 final class LogDriver {
   private static final Logger log = LoggerFactory.getLogger(LogDriver.class);
 
   private final RaftCore core;
   private final ReplicaStore store;
-  private final StateMachine machine;
-  private final Transport transport;
-  private final PendingProposals pending;
+  private final StateMachine stateMachine;
+  private final RaftTransport transport;
+  private final PendingRequests pending;
   private final ReplicatedLogOptions options;
   private final SerialLoop loop;
-  private final Executor saver;
+  private final Executor snapshotExecutor;
   private final MonotonicClock clock;
   private long appliedIndex;
   private long snapshotIndex;
-  private boolean saving;
+  private boolean snapshotInProgress;
 
   LogDriver(
       RaftCore core,
       ReplicaStore store,
-      StateMachine machine,
-      Transport transport,
-      PendingProposals pending,
+      StateMachine stateMachine,
+      RaftTransport transport,
+      PendingRequests pending,
       ReplicatedLogOptions options,
       SerialLoop loop,
-      Executor saver,
+      Executor snapshotExecutor,
       MonotonicClock clock) {
     this.core = core;
     this.store = store;
-    this.machine = machine;
+    this.stateMachine = stateMachine;
     this.transport = transport;
     this.pending = pending;
     this.options = options;
     this.loop = loop;
-    this.saver = saver;
+    this.snapshotExecutor = snapshotExecutor;
     this.clock = clock;
-    Snapshot stored = store.recovered().snapshot();
-    if (stored.lastIndex() > 0) {
-      restore(stored);
+    Snapshot storedSnapshot = store.recovered().snapshot();
+    if (storedSnapshot.lastIndex() > 0) {
+      restore(storedSnapshot);
     }
   }
 
@@ -66,8 +69,8 @@
     return snapshotIndex;
   }
 
-  /** Performs until the core asks for nothing more; one sync serves all steps before the call. */
-  void perform() {
+  /** Performs effects until the core has none left. All steps before the call share one sync. */
+  void performEffects() {
     for (Effects effects = core.drain(); !isIdle(effects); effects = core.drain()) {
       transport.send(effects.early());
       sync(effects);
@@ -75,21 +78,21 @@
       transport.send(effects.afterSync());
       effects.snapshot().ifPresent(this::restore);
       effects.committed().forEach(this::apply);
-      effects.reads().forEach(read -> pending.confirmed(read.readId(), read.index()));
-      pending.reached(appliedIndex);
+      effects.reads().forEach(read -> pending.confirmRead(read.readId(), read.index()));
+      pending.completeReads(appliedIndex);
     }
-    if (appliedIndex - snapshotIndex >= options.snapshotEntries() && !saving) {
-      takeSnapshot();
+    if (appliedIndex - snapshotIndex >= options.snapshotEntries() && !snapshotInProgress) {
+      startSnapshot();
     }
   }
 
-  /** While a sync takes its time no heartbeat leaves: a slow disk shows as an election. */
+  /** Logs slow syncs: no heartbeat is sent during a sync, so a slow disk can cause an election. */
   private void sync(Effects effects) {
     long startMillis = clock.nowMillis();
     store.sync(effects);
-    long millis = clock.nowMillis() - startMillis;
-    if (millis >= options.raft().heartbeatMillis()) {
-      log.warn("event=sync-slow millis={} entries={}", millis, effects.entries().size());
+    long elapsedMillis = clock.nowMillis() - startMillis;
+    if (elapsedMillis >= options.raft().heartbeatMillis()) {
+      log.warn("event=sync-slow millis={} entries={}", elapsedMillis, effects.entries().size());
     }
   }
 
@@ -104,31 +107,31 @@
   private void apply(Entry entry) {
     appliedIndex = entry.getIndex();
     if (entry.getKind() == EntryKind.COMMAND) {
-      ByteString answer = machine.apply(entry.getIndex(), entry.getData());
-      pending.applied(entry.getIndex(), answer);
+      ByteString result = stateMachine.apply(entry.getIndex(), entry.getData());
+      pending.completeProposal(entry.getIndex(), result);
     }
   }
 
   private void restore(Snapshot snapshot) {
-    machine.restore(snapshot.lastIndex(), snapshot.data());
+    stateMachine.restore(snapshot.lastIndex(), snapshot.data());
     appliedIndex = snapshot.lastIndex();
     snapshotIndex = snapshot.lastIndex();
     log.info("event=snapshot-restored index={} bytes={}", appliedIndex, snapshot.data().size());
   }
 
-  /** Takes the state on the loop, and writes the file beside it, so that heartbeats go on. */
-  private void takeSnapshot() {
-    saving = true;
+  /** Copies the state on the loop and writes the file on another thread, so heartbeats continue. */
+  private void startSnapshot() {
+    snapshotInProgress = true;
     Snapshot snapshot =
         new Snapshot(
             appliedIndex,
             core.termAt(appliedIndex),
             core.membershipAt(appliedIndex),
-            machine.snapshot());
-    saver.execute(() -> save(snapshot));
+            stateMachine.snapshot());
+    snapshotExecutor.execute(() -> writeSnapshot(snapshot));
   }
 
-  private void save(Snapshot snapshot) {
+  private void writeSnapshot(Snapshot snapshot) {
     try {
       store.save(snapshot);
     } catch (RuntimeException failure) {
@@ -138,11 +141,11 @@
           });
       return;
     }
-    loop.submit(() -> saved(snapshot));
+    loop.submit(() -> onSnapshotSaved(snapshot));
   }
 
-  private void saved(Snapshot snapshot) {
-    saving = false;
+  private void onSnapshotSaved(Snapshot snapshot) {
+    snapshotInProgress = false;
     store.trim(snapshot.lastIndex());
     core.compact(snapshot, options.keepEntries());
     snapshotIndex = Math.max(snapshotIndex, snapshot.lastIndex());
--- a/alderyard-control/src/main/java/org/alderyard/control/log/LogListener.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/log/LogListener.java
@@ -2,17 +2,20 @@
 
 import org.alderyard.common.error.AlderyardException;
 
-/** Is told of what befalls the log of this host; calls come one at a time and must return soon. */
+/**
+ * Receives leadership changes and failures of the log of this host. Calls are made one at a time
+ * and must not block.
+ */
 public interface LogListener {
 
   /**
-   * The host began or ceased to lead.
+   * Called when this host becomes the leader or loses leadership.
    *
    * @param term the term of the log
-   * @param leading true once the host leads and its state machine holds everything committed before
+   * @param leading true once the host is the leader and has applied all earlier committed commands
    */
   default void onLeadership(long term, boolean leading) {}
 
-  /** The log stopped for good, such as after a failed sync; the process must end. */
+  /** Called when the log has stopped permanently, as after a failed sync; the process must exit. */
   default void onFailure(AlderyardException failure) {}
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/log/LogStatus.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/log/LogStatus.java
@@ -5,35 +5,35 @@
 import org.alderyard.control.raft.Membership;
 
 /**
- * What a host knows of the log, as of its last step.
+ * Status of the log on one host, as of the last step of the host.
  *
- * @param term the term
- * @param elected whether this host was elected in the term
- * @param leading whether it also holds everything that was committed before
- * @param leader the host that is believed to lead
- * @param appliedIndex the last entry in the state machine
- * @param snapshotIndex the last entry in the newest snapshot
- * @param membership the replicas by the newest change
+ * @param term the current term
+ * @param elected whether this host was elected leader in the term
+ * @param established whether this host is the leader and has applied all earlier committed commands
+ * @param leader the presumed leader, or empty if none is known
+ * @param appliedIndex index of the last entry applied to the state machine
+ * @param snapshotIndex index of the last entry covered by the newest snapshot
+ * @param membership the replicas, as of the latest membership change
  */
 public record LogStatus(
     long term,
     boolean elected,
-    boolean leading,
+    boolean established,
     Optional<HostId> leader,
     long appliedIndex,
     long snapshotIndex,
     Membership membership) {
-  /** The status before the log takes part in a cluster. */
+  /** The status before the log is part of a cluster, and after the log has stopped. */
   static final LogStatus NONE =
       new LogStatus(0, false, false, Optional.empty(), 0, 0, Membership.EMPTY);
 
-  /** Returns whether requests for the leader find one: this host, or another one that is known. */
-  boolean leaderKnown() {
-    return leading || !elected && leader.isPresent();
+  /** Returns whether requests can reach a leader: this host, or another host that is known. */
+  boolean isLeaderKnown() {
+    return established || !elected && leader.isPresent();
   }
 
-  /** Returns whether a leadership that was seen in the earlier status has ended. */
-  boolean endsLeadershipOf(LogStatus earlier) {
+  /** Returns whether this host has lost the leadership of the earlier status. */
+  boolean lostLeadershipSince(LogStatus earlier) {
     return earlier.elected && !(elected && term == earlier.term);
   }
 }
--- /dev/null
+++ b/alderyard-control/src/main/java/org/alderyard/control/log/MembershipRepairPlan.java
@@ -0,0 +1,80 @@
+package org.alderyard.control.log;
+
+import java.util.Collection;
+import java.util.Optional;
+import java.util.function.LongPredicate;
+import org.alderyard.control.raft.Membership;
+import org.alderyard.control.raft.MembershipChange;
+import org.alderyard.control.raft.MembershipChange.AddLearner;
+import org.alderyard.control.raft.MembershipChange.Promote;
+import org.alderyard.control.raft.MembershipChange.Remove;
+import org.alderyard.protocol.generated.raft.Member;
+
+/**
+ * Decides the next membership change that adds a replica that is new or lost its disk.
+ *
+ * <p>The replica is added as a learner, then the old replica id of the same host is removed, then
+ * the replica is promoted to voter. The old id cannot return, so its removal is safe. The old id is
+ * removed only after the new replica has caught up, so that the cluster runs with fewer voters only
+ * for a short time.
+ */
+final class MembershipRepairPlan {
+  private final Membership membership;
+  private final LongPredicate hasCaughtUp;
+  private final int maxVoters;
+  private final LongPredicate isLost;
+
+  /** Creates a plan in which every joining replica becomes a voter. */
+  MembershipRepairPlan(Membership membership, LongPredicate hasCaughtUp) {
+    this(membership, hasCaughtUp, Integer.MAX_VALUE, replicaId -> false);
+  }
+
+  /**
+   * Creates a plan that limits the number of voters.
+   *
+   * @param isLost whether a voter has been unresponsive for so long that it may be replaced
+   */
+  MembershipRepairPlan(
+      Membership membership, LongPredicate hasCaughtUp, int maxVoters, LongPredicate isLost) {
+    this.membership = membership;
+    this.hasCaughtUp = hasCaughtUp;
+    this.maxVoters = maxVoters;
+    this.isLost = isLost;
+  }
+
+  /** Returns the next change for the joining replicas, or empty if no change is due. */
+  Optional<MembershipChange> nextChange(Collection<Member> candidates) {
+    return candidates.stream().map(this::changeFor).flatMap(Optional::stream).findFirst();
+  }
+
+  private Optional<MembershipChange> changeFor(Member replica) {
+    if (membership.isVoter(replica.getReplicaId())) {
+      return Optional.empty();
+    }
+    if (membership.member(replica.getReplicaId()).isEmpty()) {
+      return Optional.of(new AddLearner(replica));
+    }
+    if (!hasCaughtUp.test(replica.getReplicaId())) {
+      return Optional.empty();
+    }
+    return membership.membersOf(replica.getHostId()).stream()
+        .filter(member -> member.getReplicaId() != replica.getReplicaId())
+        .map(old -> (MembershipChange) new Remove(old.getReplicaId()))
+        .findFirst()
+        .or(() -> promoteOrMakeRoom(replica));
+  }
+
+  /**
+   * Promotes the replica if there are too few voters, or else removes a lost voter first. Promotion
+   * before the removal would increase the majority that is required.
+   */
+  private Optional<MembershipChange> promoteOrMakeRoom(Member replica) {
+    if (membership.voters().size() < maxVoters) {
+      return Optional.of(new Promote(replica.getReplicaId()));
+    }
+    return membership.voters().stream()
+        .filter(isLost::test)
+        .findFirst()
+        .map(lost -> (MembershipChange) new Remove(lost));
+  }
+}
--- a/alderyard-control/src/main/java/org/alderyard/control/log/OpenMembership.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/log/OpenMembership.java
@@ -6,17 +6,17 @@
 import java.util.function.Supplier;
 
 /**
- * How the voters are chosen where the control hosts are not listed in the settings.
+ * Selection of the voters for a cluster whose control hosts are not listed in the settings.
  *
- * @param voters how many hosts vote; 2N + 1 bear the loss of N
- * @param mayFound whether this host may found the cluster with the listed members; only at the very
- *     first start, as a host with a wiped disk must join instead
- * @param controlHosts the inner addresses of the control hosts that are known now
+ * @param voterCount number of voters; 2N + 1 voters tolerate the loss of N
+ * @param mayFound whether this host may found the cluster with the listed members. True only at the
+ *     very first start, since a host with a wiped disk must join instead.
+ * @param controlHosts supplies the inner addresses of the currently known control hosts
  */
 public record OpenMembership(
-    int voters, boolean mayFound, Supplier<List<InetSocketAddress>> controlHosts) {
+    int voterCount, boolean mayFound, Supplier<List<InetSocketAddress>> controlHosts) {
 
-  /** Checks. */
+  /** Creates the selection; {@code controlHosts} must not be null. */
   public OpenMembership {
     Objects.requireNonNull(controlHosts);
   }
--- /dev/null
+++ b/alderyard-control/src/main/java/org/alderyard/control/log/PendingRequests.java
@@ -0,0 +1,78 @@
+package org.alderyard.control.log;
+
+import com.google.protobuf.ByteString;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.Executor;
+import org.alderyard.common.error.AlderyardException;
+
+/** Proposals and reads of this host that are not completed yet. Used only on the serial loop. */
+final class PendingRequests {
+  private final Executor callbacks;
+  private final TreeMap<Long, CompletableFuture<ByteString>> proposals = new TreeMap<>();
+  private final TreeMap<Long, CompletableFuture<Void>> unconfirmedReads = new TreeMap<>();
+  private final TreeMap<Long, List<CompletableFuture<Void>>> confirmedReads = new TreeMap<>();
+
+  PendingRequests(Executor callbacks) {
+    this.callbacks = callbacks;
+  }
+
+  int size() {
+    return proposals.size() + unconfirmedReads.size();
+  }
+
+  void addProposal(long index, CompletableFuture<ByteString> future) {
+    proposals.put(index, future);
+  }
+
+  void addRead(long readId, CompletableFuture<Void> future) {
+    unconfirmedReads.put(readId, future);
+  }
+
+  void confirmRead(long readId, long index) {
+    CompletableFuture<Void> future = unconfirmedReads.remove(readId);
+    if (future != null) {
+      confirmedReads.computeIfAbsent(index, key -> new ArrayList<>()).add(future);
+    }
+  }
+
+  /** Completes the pending proposal at this index, if any, with the result of the applied entry. */
+  void completeProposal(long index, ByteString result) {
+    CompletableFuture<ByteString> future = proposals.remove(index);
+    if (future != null) {
+      callbacks.execute(() -> future.complete(result));
+    }
+  }
+
+  /** Completes the confirmed reads that waited for entries up to the applied index. */
+  void completeReads(long appliedIndex) {
+    Map<Long, List<CompletableFuture<Void>>> completable =
+        confirmedReads.headMap(appliedIndex, true);
+    completable
+        .values()
+        .forEach(reads -> reads.forEach(read -> callbacks.execute(() -> read.complete(null))));
+    completable.clear();
+  }
+
+  /** Fails all pending proposals and reads. */
+  void failAll(AlderyardException proposalFailure, AlderyardException readFailure) {
+    proposals
+        .values()
+        .forEach(future -> callbacks.execute(() -> future.completeExceptionally(proposalFailure)));
+    unconfirmedReads
+        .values()
+        .forEach(future -> callbacks.execute(() -> future.completeExceptionally(readFailure)));
+    confirmedReads
+        .values()
+        .forEach(
+            reads ->
+                reads.forEach(
+                    read -> callbacks.execute(() -> read.completeExceptionally(readFailure))));
+    proposals.clear();
+    unconfirmedReads.clear();
+    confirmedReads.clear();
+  }
+}
--- a/alderyard-control/src/main/java/org/alderyard/control/log/RaftMethods.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/log/RaftMethods.java
@@ -6,7 +6,7 @@
 import org.alderyard.protocol.generated.raft.RaftBatch;
 import org.alderyard.protocol.wire.Method;
 
-/** The methods of the replicated log on the inner protocol. */
+/** Methods of the inner protocol that the replicated log uses between hosts. */
 final class RaftMethods {
   static final Method<RaftBatch, RaftAck> MESSAGES =
       new Method<>(100, "raft-messages", RaftBatch.parser(), RaftAck.parser());
--- a/alderyard-control/src/main/java/org/alderyard/control/log/Transport.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/log/RaftTransport.java
@@ -16,14 +16,15 @@
 import org.alderyard.protocol.wire.PeerLinks;
 
 /**
- * Sends messages to the other replicas: one batch at a time to each, so that they arrive in order
- * though the receiver's workers run side by side. What comes up meanwhile makes up the next batch.
+ * Sends messages to the other replicas, with one batch in flight per replica. This keeps messages
+ * in order although the receiver processes batches concurrently. Messages that are queued while a
+ * batch is in flight form the next batch.
  *
- * <p>Called on the loop only.
+ * <p>Used only on the serial loop.
  */
-final class Transport {
+final class RaftTransport {
   private static final int MAX_BATCH_BYTES = 4 * 1024 * 1024;
-  private static final int MAX_QUEUED = 4_096;
+  private static final int MAX_QUEUED_MESSAGES = 4_096;
 
   private final PeerLinks links;
   private final SerialLoop loop;
@@ -32,7 +33,7 @@
   private final LongFunction<Optional<InetSocketAddress>> addressOf;
   private final Map<Long, Outbox> outboxes = new HashMap<>();
 
-  Transport(
+  RaftTransport(
       PeerLinks links,
       SerialLoop loop,
       ReplicatedLogOptions options,
@@ -46,34 +47,34 @@
   }
 
   void send(List<RaftMessage> messages) {
-    Set<Outbox> touched = new LinkedHashSet<>();
+    Set<Outbox> changed = new LinkedHashSet<>();
     for (RaftMessage message : messages) {
       Outbox outbox = outboxes.computeIfAbsent(message.getTo(), Outbox::new);
       outbox.add(message);
-      touched.add(outbox);
+      changed.add(outbox);
     }
-    touched.forEach(Outbox::flush);
+    changed.forEach(Outbox::sendNext);
   }
 
   private final class Outbox {
     private final long replicaId;
     private final Deque<RaftMessage> queue = new ArrayDeque<>();
-    private boolean sending;
+    private boolean inFlight;
 
     Outbox(long replicaId) {
       this.replicaId = replicaId;
     }
 
-    /** A full queue loses its messages; the agreement makes up for lost messages anyway. */
+    /** Queues a message. A full queue is cleared first, since Raft tolerates lost messages. */
     void add(RaftMessage message) {
-      if (queue.size() >= MAX_QUEUED) {
+      if (queue.size() >= MAX_QUEUED_MESSAGES) {
         queue.clear();
       }
       queue.addLast(message);
     }
 
-    void flush() {
-      if (sending || queue.isEmpty()) {
+    void sendNext() {
+      if (inFlight || queue.isEmpty()) {
         return;
       }
       Optional<InetSocketAddress> address = addressOf.apply(replicaId);
@@ -81,11 +82,11 @@
         queue.clear();
         return;
       }
-      sending = true;
+      inFlight = true;
       links
           .to(address.get())
           .call(RaftMethods.MESSAGES, nextBatch(), options.sendTimeout())
-          .whenComplete((ack, failure) -> loop.submit(() -> sent(failure)));
+          .whenComplete((ack, failure) -> loop.submit(() -> onSent(failure)));
     }
 
     private RaftBatch nextBatch() {
@@ -98,13 +99,13 @@
       return batch.build();
     }
 
-    private void sent(Throwable failure) {
-      sending = false;
+    private void onSent(Throwable failure) {
+      inFlight = false;
       if (failure != null) {
-        // What waited behind a dead connection is out of date; the next heartbeat starts afresh.
+        // Messages queued behind a failed send are stale; the next heartbeat resumes replication.
         queue.clear();
       }
-      flush();
+      sendNext();
     }
   }
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/log/ReplicaHost.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/log/ReplicaHost.java
@@ -29,38 +29,44 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Brings a replica into its cluster and feeds it; used on the loop, but for the two handlers. */
+/**
+ * Joins the replica of this host to its cluster, and passes messages and clock ticks to its Raft
+ * core. Used only on the serial loop, except for the two protocol handlers.
+ */
 final class ReplicaHost {
   private static final Logger log = LoggerFactory.getLogger(ReplicaHost.class);
-  private static final int JOINING_KEPT_ROUNDS = 20;
-  // Longer than a restart or a short partition takes, so that those change no membership.
-  private static final long LOST_AFTER_MILLIS = 6_000;
-  // A learner that waits for a seat only has to be remembered by the leader.
-  private static final long WAITING_ROUND_MILLIS = 2_000;
+  private static final int JOIN_REQUEST_RETENTION_ROUNDS = 20;
+  // Longer than a restart or a short partition, so that neither changes the membership.
+  private static final long VOTER_LOST_AFTER_MILLIS = 6_000;
+  // A learner that waits to become a voter repeats its request only so that the leader keeps it.
+  private static final long LEARNER_JOIN_INTERVAL_MILLIS = 2_000;
 
   private final ReplicatedLogBuilder builder;
   private final SerialLoop loop;
-  private final Executor saver;
-  private final PendingProposals pending;
+  private final Executor snapshotExecutor;
+  private final PendingRequests pending;
   private final DataFolder folder;
   private final Member self;
-  private final Map<String, InetSocketAddress> listed = new LinkedHashMap<>();
+  private final Map<String, InetSocketAddress> listedMembers = new LinkedHashMap<>();
   private final Map<Long, Member> senders = new HashMap<>();
-  private final Map<String, Joining> joining = new HashMap<>();
-  private final JoinRounds rounds;
-  private long nextRoundMillis;
-  private String lastReason = "";
-  // Not null while this host takes part in the log.
+  private final Map<String, PendingJoin> joinRequests = new HashMap<>();
+  private final JoinPoller joinPoller;
+  private long nextJoinMillis;
+  private String lastLoggedReason = "";
+  // Not null while the log is open.
   private LogDriver driver;
   private boolean closed;
 
   ReplicaHost(
-      ReplicatedLogBuilder builder, SerialLoop loop, Executor saver, PendingProposals pending) {
+      ReplicatedLogBuilder builder,
+      SerialLoop loop,
+      Executor snapshotExecutor,
+      PendingRequests pending) {
     this.builder = builder;
     this.loop = loop;
-    this.saver = saver;
+    this.snapshotExecutor = snapshotExecutor;
     this.pending = pending;
-    builder.members.forEach(address -> listed.put(endpoint(address), address));
+    builder.members.forEach(address -> listedMembers.put(endpoint(address), address));
     folder = DataFolder.open(builder.dataFolder, builder.clusterId, builder.host, builder.random);
     self =
         Member.newBuilder()
@@ -68,44 +74,51 @@
             .setHostId(builder.host.value())
             .setAddress(endpoint(builder.address))
             .build();
-    rounds =
-        new JoinRounds(builder.links, loop, builder.options, self, this::others, this::onRound);
+    joinPoller =
+        new JoinPoller(
+            builder.links, loop, builder.options, self, this::joinTargets, this::onJoinRound);
     try {
       if (folder.identity().getFormed()) {
-        takePart();
+        openLog();
       }
-    } catch (RuntimeException unusable) {
+    } catch (RuntimeException failure) {
       folder.close();
-      throw unusable;
+      throw failure;
     }
     builder.dispatcher.serve(RaftMethods.MESSAGES, this::onMessages);
     builder.dispatcher.serve(RaftMethods.JOIN, this::onJoin);
   }
 
-  /** The hosts to ask: to found, those that are listed; to join, any control host. */
-  private Map<String, InetSocketAddress> others() {
-    Map<String, InetSocketAddress> others = new LinkedHashMap<>(listed);
-    if (!founding()) {
+  /**
+   * Returns the hosts to send join requests to: the listed members to found a cluster, and also all
+   * known control hosts to join one.
+   */
+  private Map<String, InetSocketAddress> joinTargets() {
+    Map<String, InetSocketAddress> joinTargets = new LinkedHashMap<>(listedMembers);
+    if (!mayFoundCluster()) {
       builder
-          .open
+          .openMembership
           .orElseThrow()
           .controlHosts()
           .get()
-          .forEach(address -> others.put(endpoint(address), address));
+          .forEach(address -> joinTargets.put(endpoint(address), address));
     }
-    others.remove(self.getAddress());
-    return others;
+    joinTargets.remove(self.getAddress());
+    return joinTargets;
   }
 
-  /** A host that has recorded founders goes on with them, also after a restart. */
-  private boolean founding() {
-    if (builder.open.isEmpty()) {
+  /**
+   * Returns whether this host may found the cluster instead of joining one. A host that has
+   * recorded founders continues with them after a restart.
+   */
+  private boolean mayFoundCluster() {
+    if (builder.openMembership.isEmpty()) {
       return true;
     }
-    boolean begun = folder.identity().getFounders().getMembersCount() > 0;
+    boolean foundersRecorded = folder.identity().getFounders().getMembersCount() > 0;
     return driver == null
-        && (builder.open.get().mayFound() || begun)
-        && listed.containsKey(self.getAddress());
+        && (builder.openMembership.get().mayFound() || foundersRecorded)
+        && listedMembers.containsKey(self.getAddress());
   }
 
   private static String endpoint(InetSocketAddress address) {
@@ -120,13 +133,13 @@
     return Optional.ofNullable(driver).map(LogDriver::core);
   }
 
-  void perform() {
+  void performEffects() {
     if (driver != null) {
-      driver.perform();
+      driver.performEffects();
     }
   }
 
-  private void takePart() {
+  private void openLog() {
     Membership founders = new Membership(folder.identity().getFounders());
     ReplicaStore store = new ReplicaStore(folder, founders);
     Recovered recovered = store.recovered();
@@ -139,18 +152,18 @@
             recovered.entries(),
             builder.random,
             nowMillis());
-    Transport transport =
-        new Transport(builder.links, loop, builder.options, self, this::addressOf);
+    RaftTransport transport =
+        new RaftTransport(builder.links, loop, builder.options, self, this::addressOf);
     driver =
         new LogDriver(
             core,
             store,
-            builder.machine,
+            builder.stateMachine,
             transport,
             pending,
             builder.options,
             loop,
-            saver,
+            snapshotExecutor,
             builder.clock);
     log.info(
         "event=log-opened replica={} term={} snapshot={} last={} torn-bytes={}",
@@ -170,18 +183,18 @@
         .membership()
         .member(replicaId)
         .or(() -> Optional.ofNullable(senders.get(replicaId)))
-        .flatMap(member -> reachable(member.getAddress()));
+        .flatMap(member -> resolve(member.getAddress()));
   }
 
-  private Optional<InetSocketAddress> reachable(String endpoint) {
-    Optional<InetSocketAddress> known = Optional.ofNullable(listed.get(endpoint));
-    if (known.isPresent() || builder.open.isEmpty()) {
+  private Optional<InetSocketAddress> resolve(String endpoint) {
+    Optional<InetSocketAddress> known = Optional.ofNullable(listedMembers.get(endpoint));
+    if (known.isPresent() || builder.openMembership.isEmpty()) {
       return known;
     }
-    return Optional.of(address(endpoint));
+    return Optional.of(parseAddress(endpoint));
   }
 
-  static InetSocketAddress address(String endpoint) {
+  static InetSocketAddress parseAddress(String endpoint) {
     int colon = endpoint.lastIndexOf(':');
     return new InetSocketAddress(
         endpoint.substring(0, colon), Integer.parseInt(endpoint.substring(colon + 1)));
@@ -193,30 +206,33 @@
     }
     if (driver != null) {
       driver.core().tick(nowMillis);
-      repair(nowMillis);
-      noteAdmission();
+      repairMembership(nowMillis);
+      recordAdmission();
     }
-    if (needsJoin() && nowMillis >= nextRoundMillis) {
-      nextRoundMillis = nowMillis + roundMillis();
-      rounds.start(driver != null);
+    if (needsToJoin() && nowMillis >= nextJoinMillis) {
+      nextJoinMillis = nowMillis + joinIntervalMillis();
+      joinPoller.startRound(driver != null);
     }
   }
 
-  private long roundMillis() {
-    boolean waits =
+  private long joinIntervalMillis() {
+    boolean awaitsPromotion =
         driver != null
             && driver.core().leader().isPresent()
             && driver.core().membership().member(self.getReplicaId()).isPresent();
-    return waits ? WAITING_ROUND_MILLIS : builder.options.joinInterval().toMillis();
+    return awaitsPromotion
+        ? LEARNER_JOIN_INTERVAL_MILLIS
+        : builder.options.joinInterval().toMillis();
   }
 
   /**
-   * A replica asks to be taken in only once; if it is voted out later it stays out. With an open
-   * membership it comes back as a learner, and asks whenever it sees no leader: it may have been
-   * voted out while it was away, and nobody else would tell it.
+   * Returns whether this replica has to send join requests. With listed members, a replica joins
+   * only once, and does not rejoin after its removal. With an open membership, a removed replica
+   * rejoins as a learner. The replica then sends join requests whenever it knows no leader, since
+   * it may have been removed while it was unreachable, and other hosts do not notify it.
    */
-  private boolean needsJoin() {
-    if (builder.open.isPresent()) {
+  private boolean needsToJoin() {
+    if (builder.openMembership.isPresent()) {
       return driver == null
           || driver.core().leader().isEmpty()
           || !driver.core().membership().isVoter(self.getReplicaId());
@@ -228,7 +244,7 @@
     return folder.identity().getFounders().getMembersCount() == 0;
   }
 
-  private void noteAdmission() {
+  private void recordAdmission() {
     boolean admitted = folder.identity().getAdmitted() || !isNewcomer();
     if (!admitted && driver.core().membership().isVoter(self.getReplicaId())) {
       folder.write(folder.identity().toBuilder().setAdmitted(true).build());
@@ -236,29 +252,29 @@
     }
   }
 
-  private void onRound(Map<String, JoinReply> replies) {
+  private void onJoinRound(Map<String, JoinReply> replies) {
     if (closed || driver != null) {
       return;
     }
     Formation.Decision decision =
-        founding()
-            ? Formation.decide(self, folder.identity(), rounds.others(), replies)
+        mayFoundCluster()
+            ? Formation.decide(self, folder.identity(), joinPoller.others(), replies)
             : Formation.decideToJoin(self, replies);
-    if (!decision.reason().equals(lastReason)) {
-      lastReason = decision.reason();
+    if (!decision.reason().equals(lastLoggedReason)) {
+      lastLoggedReason = decision.reason();
       log.info(
           "event=formation action={} reason={} answered={} of={}",
           decision.action(),
           decision.reason(),
           replies.size(),
-          rounds.others().size());
+          joinPoller.others().size());
     }
     switch (decision.action()) {
       case WAIT -> {}
       case RECORD -> record(decision.founders(), false);
       case FOUND, JOIN -> {
         record(decision.founders(), true);
-        takePart();
+        openLog();
       }
       default -> throw new IllegalStateException("action " + decision.action());
     }
@@ -268,47 +284,49 @@
     folder.write(folder.identity().toBuilder().setFounders(founders).setFormed(formed).build());
   }
 
-  private void repair(long nowMillis) {
+  private void repairMembership(long nowMillis) {
     RaftCore core = driver.core();
-    if (core.role() != Role.LEADER || joining.isEmpty()) {
+    if (core.role() != Role.LEADER || joinRequests.isEmpty()) {
       return;
     }
-    long keptMillis = JOINING_KEPT_ROUNDS * builder.options.joinInterval().toMillis();
-    joining
+    long retentionMillis =
+        JOIN_REQUEST_RETENTION_ROUNDS * builder.options.joinInterval().toMillis();
+    joinRequests
         .values()
         .removeIf(
             entry ->
-                nowMillis - entry.heardMillis > keptMillis
+                nowMillis - entry.receivedMillis > retentionMillis
                     || core.membership().isVoter(entry.member.getReplicaId()));
     Optional<MembershipChange> change =
-        plan(core).next(joining.values().stream().map(Joining::member).toList());
+        repairPlan(core)
+            .nextChange(joinRequests.values().stream().map(PendingJoin::member).toList());
     if (change.isPresent() && core.change(change.get()) == Verdict.ACCEPTED) {
       log.info("event=membership-repair change=\"{}\" term={}", change.get(), core.term());
     }
   }
 
-  private RepairPlan plan(RaftCore core) {
-    if (builder.open.isEmpty()) {
-      return new RepairPlan(core.membership(), core::hasCaughtUp);
+  private MembershipRepairPlan repairPlan(RaftCore core) {
+    if (builder.openMembership.isEmpty()) {
+      return new MembershipRepairPlan(core.membership(), core::hasCaughtUp);
     }
-    return new RepairPlan(
+    return new MembershipRepairPlan(
         core.membership(),
         core::hasCaughtUp,
-        builder.open.get().voters(),
-        replicaId -> core.silentMillis(replicaId) > LOST_AFTER_MILLIS);
+        builder.openMembership.get().voterCount(),
+        replicaId -> core.silentMillis(replicaId) > VOTER_LOST_AFTER_MILLIS);
   }
 
-  /** The receipt is answered at once; what the messages ask for is answered by messages. */
+  /** Acknowledges the receipt immediately; Raft replies are sent as separate messages. */
   private CompletableFuture<RaftAck> onMessages(PeerIdentity peer, RaftBatch batch) {
     if (!batch.getSender().getHostId().equals(peer.host().value())) {
       return CompletableFuture.failedFuture(
           AlderyardException.notRun(
               ErrorCode.PEER_REJECTED,
-              "host " + peer.host() + " sends as host " + batch.getSender().getHostId()));
+              "host " + peer.host() + " sent messages as host " + batch.getSender().getHostId()));
     }
     long nowMillis = nowMillis();
     if (!loop.submit(() -> receive(batch, nowMillis))) {
-      return CompletableFuture.failedFuture(stopped());
+      return CompletableFuture.failedFuture(logClosed());
     }
     return CompletableFuture.completedFuture(RaftAck.getDefaultInstance());
   }
@@ -326,31 +344,33 @@
   }
 
   private CompletableFuture<JoinReply> onJoin(PeerIdentity peer, JoinRequest request) {
-    CompletableFuture<JoinReply> answer = new CompletableFuture<>();
+    CompletableFuture<JoinReply> reply = new CompletableFuture<>();
     long nowMillis = nowMillis();
-    boolean taken =
+    boolean submitted =
         loop.submit(
             () -> {
               Member member = request.getSelf();
-              boolean own = member.getHostId().equals(peer.host().value());
-              boolean welcome = builder.open.isPresent() || listed.containsKey(member.getAddress());
-              if (request.getNewcomer() && own && welcome) {
-                joining.put(member.getAddress(), new Joining(member, nowMillis));
+              boolean fromSender = member.getHostId().equals(peer.host().value());
+              boolean permitted =
+                  builder.openMembership.isPresent()
+                      || listedMembers.containsKey(member.getAddress());
+              if (request.getNewcomer() && fromSender && permitted) {
+                joinRequests.put(member.getAddress(), new PendingJoin(member, nowMillis));
               }
-              answer.complete(
+              reply.complete(
                   JoinReply.newBuilder()
                       .setSelf(self)
                       .setFounders(folder.identity().getFounders())
                       .setFormed(folder.identity().getFormed())
                       .build());
             });
-    if (!taken) {
-      answer.completeExceptionally(stopped());
+    if (!submitted) {
+      reply.completeExceptionally(logClosed());
     }
-    return answer;
+    return reply;
   }
 
-  private static AlderyardException stopped() {
+  private static AlderyardException logClosed() {
     return AlderyardException.notRun(ErrorCode.DRAINING, "the log of this host is closed");
   }
 
@@ -387,5 +407,5 @@
     folder.close();
   }
 
-  private record Joining(Member member, long heardMillis) {}
+  private record PendingJoin(Member member, long receivedMillis) {}
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/log/ReplicatedLog.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/log/ReplicatedLog.java
@@ -23,7 +23,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The control log over several hosts, each with its own data folder.
+ * Control log that is replicated by Raft over several hosts, each with its own data folder.
  *
  * <pre>{@code
  * ReplicatedLog log =
@@ -39,49 +39,49 @@
  *         .start();
  * }</pre>
  *
- * <p>At the very first start all hosts of the list must be up once; from then on a majority is
- * enough. A host that returns with an empty folder is taken in by the leader as a new replica.
+ * <p>At the first start, all listed hosts must be up at the same time; afterwards a majority is
+ * sufficient. If a host restarts with an empty data folder, the leader adds it as a new replica.
  */
 public final class ReplicatedLog implements ControlLog {
   private static final Logger log = LoggerFactory.getLogger(ReplicatedLog.class);
-  private static final int THREADS = 2;
+  private static final int THREAD_COUNT = 2;
   private static final Duration CLOSE_TIMEOUT = Duration.ofSeconds(5);
-  private static final Duration HAND_OVER_POLL = Duration.ofMillis(5);
+  private static final Duration TRANSFER_POLL_INTERVAL = Duration.ofMillis(5);
 
   private final ReplicatedLogOptions options;
   private final LogListener listener;
-  private final WorkerPool threads = new WorkerPool("log", THREADS);
+  private final WorkerPool workers = new WorkerPool("log", THREAD_COUNT);
   private final SerialLoop loop;
-  private final PendingProposals pending;
+  private final PendingRequests pending;
   private final ReplicaHost replica;
   private final LeaderWaits leaderWaits = new LeaderWaits();
-  // On the loop only.
+  // Used only on the serial loop.
   private long nextReadId;
   private boolean closed;
-  // Written on the loop, read anywhere.
+  // Written on the serial loop, read from any thread.
   private volatile LogStatus status = LogStatus.NONE;
   private volatile AlderyardException failure;
 
   ReplicatedLog(ReplicatedLogBuilder builder) {
     options = builder.options;
     listener = builder.listener;
-    pending = new PendingProposals(builder.callbacks);
-    loop = new SerialLoop(threads, this::flush, this::fail);
+    pending = new PendingRequests(builder.callbacks);
+    loop = new SerialLoop(workers, this::flush, this::fail);
     try {
-      replica = new ReplicaHost(builder, loop, threads, pending);
-    } catch (RuntimeException unusable) {
-      threads.close();
-      throw unusable;
+      replica = new ReplicaHost(builder, loop, workers, pending);
+    } catch (RuntimeException openFailure) {
+      workers.close();
+      throw openFailure;
     }
-    threads.scheduleRepeatedly(options.tick(), this::tick);
+    workers.scheduleRepeatedly(options.tick(), this::tick);
   }
 
-  /** Returns a builder. */
+  /** Returns a builder with default options and the system clock. */
   public static ReplicatedLogBuilder builder() {
     return new ReplicatedLogBuilder();
   }
 
-  /** The time is taken before the step waits its turn, so that a slow sync is no silence. */
+  /** Reads the clock before the step is queued, so that a slow sync does not count as silence. */
   private void tick() {
     long nowMillis = replica.nowMillis();
     loop.submit(() -> replica.tick(nowMillis));
@@ -91,30 +91,33 @@
     if (closed) {
       return;
     }
-    replica.perform();
+    replica.performEffects();
     LogStatus before = status;
     LogStatus now = replica.status();
     status = now;
-    leaderWaits.update(now.leaderKnown());
-    if (now.endsLeadershipOf(before)) {
-      pending.fail(lostLeadership(), notLeader());
+    leaderWaits.setLeaderKnown(now.isLeaderKnown());
+    if (now.lostLeadershipSince(before)) {
+      pending.failAll(leadershipLost(), notLeader());
     }
-    if (before.leading() != now.leading() || before.term() != now.term()) {
+    if (before.established() != now.established() || before.term() != now.term()) {
       log.info(
           "event=term-changed term={} leading={} leader={}",
           now.term(),
-          now.leading(),
+          now.established(),
           now.leader().map(HostId::value).orElse("none"));
     }
-    if (before.leading() && now.endsLeadershipOf(before)) {
+    if (before.established() && now.lostLeadershipSince(before)) {
       listener.onLeadership(before.term(), false);
     }
-    if (now.leading() && !(before.leading() && before.term() == now.term())) {
+    if (now.established() && !(before.established() && before.term() == now.term())) {
       listener.onLeadership(now.term(), true);
     }
   }
 
-  /** Guards against going on after the disk or the state machine failed: nothing is retried. */
+  /**
+   * Stops the log permanently after a disk or state machine failure. Nothing is retried, since the
+   * state on the disk or in memory may be wrong.
+   */
   private void fail(RuntimeException cause) {
     if (closed) {
       return;
@@ -125,7 +128,7 @@
     loop.stop();
     closed = true;
     status = LogStatus.NONE;
-    pending.fail(
+    pending.failAll(
         AlderyardException.unknown(typed.code(), "the log stopped: " + typed.getMessage(), typed),
         stopped());
     replica.close();
@@ -138,84 +141,88 @@
       return CompletableFuture.failedFuture(
           AlderyardException.notRun(
               ErrorCode.REQUEST_TOO_LARGE,
-              "the command has "
+              "the command size of "
                   + command.size()
-                  + " bytes; accepted are up to "
+                  + " bytes exceeds the limit of "
                   + options.maxCommandBytes()));
     }
-    return onLoop(answer -> propose(command, answer));
+    return runOnLoop(future -> propose(command, future));
   }
 
-  private void propose(ByteString command, CompletableFuture<ByteString> answer) {
+  private void propose(ByteString command, CompletableFuture<ByteString> future) {
     if (pending.size() >= options.maxPending()) {
-      answer.completeExceptionally(
+      future.completeExceptionally(
           AlderyardException.notRun(
               ErrorCode.OVERLOADED,
-              pending.size() + " commands wait for the log already",
+              pending.size() + " requests to the log are pending already",
               options.raft().heartbeatMillis()));
       return;
     }
     OptionalLong index =
         replica.core().map(core -> core.propose(command)).orElse(OptionalLong.empty());
     if (index.isEmpty()) {
-      answer.completeExceptionally(notLeader());
+      future.completeExceptionally(notLeader());
       return;
     }
-    pending.proposed(index.getAsLong(), answer);
+    pending.addProposal(index.getAsLong(), future);
   }
 
   @Override
   public CompletableFuture<Void> readBarrier() {
-    return onLoop(
-        answer -> {
+    return runOnLoop(
+        future -> {
           nextReadId++;
           long readId = nextReadId;
           if (replica.core().filter(core -> core.read(readId)).isEmpty()) {
-            answer.completeExceptionally(notLeader());
+            future.completeExceptionally(notLeader());
             return;
           }
-          pending.asked(readId, answer);
+          pending.addRead(readId, future);
         });
   }
 
-  /** Changes the members by one step; the future tells whether this host took the change. */
-  public CompletableFuture<Verdict> change(MembershipChange change) {
-    return onLoop(
-        answer -> {
+  /** Proposes a single membership change; the future returns whether this host accepted it. */
+  public CompletableFuture<Verdict> changeMembership(MembershipChange change) {
+    return runOnLoop(
+        future -> {
           Verdict verdict =
               replica.core().map(core -> core.change(change)).orElse(Verdict.NOT_LEADER);
           log.info("event=membership-change change=\"{}\" verdict={}", change, verdict);
-          answer.complete(verdict);
+          future.complete(verdict);
         });
   }
 
-  /** Hands the leadership to the voter that holds most of the log; tells whether that was begun. */
-  public CompletableFuture<Boolean> handOver() {
-    return onLoop(
-        answer -> answer.complete(replica.core().map(ReplicatedLog::handOver).orElse(false)));
+  /**
+   * Transfers leadership to the voter with the highest replicated index; the future returns whether
+   * the transfer was started.
+   */
+  public CompletableFuture<Boolean> transferLeadership() {
+    return runOnLoop(
+        future ->
+            future.complete(replica.core().map(ReplicatedLog::transferLeadership).orElse(false)));
   }
 
-  private static boolean handOver(RaftCore core) {
+  private static boolean transferLeadership(RaftCore core) {
     Optional<Long> target =
         core.membership().voters().stream().max(Comparator.comparing(core::matchIndex));
     return target.isPresent() && core.handOver(target.get());
   }
 
-  private <T> CompletableFuture<T> onLoop(Consumer<CompletableFuture<T>> step) {
-    CompletableFuture<T> answer = new CompletableFuture<>();
-    if (!loop.submit(() -> runUnlessClosed(step, answer))) {
-      answer.completeExceptionally(stopped());
+  private <T> CompletableFuture<T> runOnLoop(Consumer<CompletableFuture<T>> step) {
+    CompletableFuture<T> future = new CompletableFuture<>();
+    if (!loop.submit(() -> runUnlessClosed(step, future))) {
+      future.completeExceptionally(stopped());
     }
-    return answer;
+    return future;
   }
 
   private <T> void runUnlessClosed(
-      Consumer<CompletableFuture<T>> step, CompletableFuture<T> answer) {
+      Consumer<CompletableFuture<T>> step, CompletableFuture<T> future) {
     if (closed) {
-      answer.completeExceptionally(stopped());
+      future.completeExceptionally(stopped());
       return;
     }
-    step.accept(answer);
+    step.accept(future);
   }
 
   private AlderyardException stopped() {
@@ -227,24 +234,24 @@
   }
 
   private AlderyardException notLeader() {
-    String where = status.leader().map(host -> "; host " + host + " leads").orElse("");
+    String leaderHint = status.leader().map(host -> "; host " + host + " leads").orElse("");
     return AlderyardException.notRun(
         ErrorCode.NOT_LEADER,
-        "this host does not lead the log" + where,
+        "this host is not the leader of the log" + leaderHint,
         options.raft().electionTimeoutMinMillis());
   }
 
-  private static AlderyardException lostLeadership() {
+  private static AlderyardException leadershipLost() {
     return new AlderyardException(
         ErrorCode.NOT_LEADER,
         Outcome.OUTCOME_UNKNOWN,
-        "this host lost the leadership before the command was committed; another leader may commit"
+        "this host lost leadership before the command was committed; another leader may commit"
             + " it");
   }
 
   @Override
   public boolean leading() {
-    return status.leading();
+    return status.established();
   }
 
   @Override
@@ -253,8 +260,8 @@
   }
 
   @Override
-  public CompletableFuture<Void> leaderKnown(Duration limit) {
-    return leaderWaits.await(limit);
+  public CompletableFuture<Void> leaderKnown(Duration timeout) {
+    return leaderWaits.awaitLeader(timeout);
   }
 
   @Override
@@ -265,55 +272,55 @@
   @Override
   public List<InetSocketAddress> memberAddresses() {
     return status.membership().members().stream()
-        .map(member -> ReplicaHost.address(member.getAddress()))
+        .map(member -> ReplicaHost.parseAddress(member.getAddress()))
         .toList();
   }
 
-  /** Returns what this host knows of the log. */
+  /** Returns the status as of the last step of this host; never blocks. */
   public LogStatus status() {
     return status;
   }
 
-  /** Hands the leadership over if need be, then stops. */
+  /** Transfers leadership if this host is the leader, then stops. */
   @Override
   public void close() {
     if (status.elected()) {
-      awaitHandOver();
+      awaitLeadershipTransfer();
     }
     stop();
   }
 
-  private void awaitHandOver() {
+  private void awaitLeadershipTransfer() {
     CompletableFuture<Void> done = new CompletableFuture<>();
     var poll =
-        threads.scheduleRepeatedly(
-            HAND_OVER_POLL,
+        workers.scheduleRepeatedly(
+            TRANSFER_POLL_INTERVAL,
             () -> {
               if (!status.elected()) {
                 done.complete(null);
               }
             });
-    handOver();
+    transferLeadership();
     done.completeOnTimeout(null, options.raft().electionTimeoutMaxMillis(), TimeUnit.MILLISECONDS)
         .join();
     poll.cancel(false);
   }
 
-  /** Stops at once without handing over, as a crash would. */
+  /** Stops immediately without a leadership transfer, as in a crash. */
   public void stop() {
     CompletableFuture<Void> done = new CompletableFuture<>();
-    boolean running = loop.submit(() -> shutDown(done));
+    boolean running = loop.submit(() -> stopOnLoop(done));
     loop.stop();
     if (running) {
       done.completeOnTimeout(null, CLOSE_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS).join();
     }
-    threads.close();
+    workers.close();
   }
 
-  private void shutDown(CompletableFuture<Void> done) {
+  private void stopOnLoop(CompletableFuture<Void> done) {
     closed = true;
     status = LogStatus.NONE;
-    pending.fail(lostLeadership(), stopped());
+    pending.failAll(leadershipLost(), stopped());
     replica.close();
     done.complete(null);
   }
--- a/alderyard-control/src/main/java/org/alderyard/control/log/ReplicatedLogBuilder.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/log/ReplicatedLogBuilder.java
@@ -14,15 +14,15 @@
 import org.alderyard.protocol.wire.Dispatcher;
 import org.alderyard.protocol.wire.PeerLinks;
 
-/** Collects what a {@link ReplicatedLog} needs. */
+/** Builder of a {@link ReplicatedLog}; not thread-safe. */
 public final class ReplicatedLogBuilder {
   String clusterId;
   HostId host;
   InetSocketAddress address;
   List<InetSocketAddress> members;
-  Optional<OpenMembership> open = Optional.empty();
+  Optional<OpenMembership> openMembership = Optional.empty();
   Path dataFolder;
-  StateMachine machine;
+  StateMachine stateMachine;
   PeerLinks links;
   Dispatcher dispatcher;
   Executor callbacks;
@@ -33,78 +33,82 @@
 
   ReplicatedLogBuilder() {}
 
-  /** Sets the cluster, which the data folder must belong to. */
+  /** Sets the id of the cluster that the data folder must belong to. */
   public ReplicatedLogBuilder clusterId(String value) {
     clusterId = value;
     return this;
   }
 
-  /** Sets the name of this host and where its inner port listens. */
+  /** Sets the name of this host and the address of its inner port. */
   public ReplicatedLogBuilder host(HostId name, InetSocketAddress innerAddress) {
     host = name;
     address = innerAddress;
     return this;
   }
 
-  /** Sets the inner addresses of all control hosts, this one among them. */
+  /**
+   * Sets the inner addresses of all control hosts. Must contain this host, unless the membership is
+   * open.
+   */
   public ReplicatedLogBuilder members(List<InetSocketAddress> innerAddresses) {
     members = List.copyOf(innerAddresses);
     return this;
   }
 
-  /** Lets hosts join that are not among the members; those only found the cluster then. */
+  /** Lets hosts join that are not listed as members; the listed members only found the cluster. */
   public ReplicatedLogBuilder open(OpenMembership value) {
-    open = Optional.of(value);
+    openMembership = Optional.of(value);
     return this;
   }
 
-  /** Sets the folder for all files. */
+  /** Sets the folder in which this host stores all files of the log. */
   public ReplicatedLogBuilder dataFolder(Path value) {
     dataFolder = value;
     return this;
   }
 
-  /** Sets what the commands act on. */
+  /** Sets the state machine that applies the commands. */
   public ReplicatedLogBuilder machine(StateMachine value) {
-    machine = value;
+    stateMachine = value;
     return this;
   }
 
-  /** Sets the connections to other hosts, and the methods that this host serves. */
-  public ReplicatedLogBuilder network(PeerLinks linksToOthers, Dispatcher served) {
-    links = linksToOthers;
-    dispatcher = served;
+  /** Sets the connections to other hosts and the dispatcher for requests to this host. */
+  public ReplicatedLogBuilder network(PeerLinks peerLinks, Dispatcher requestDispatcher) {
+    links = peerLinks;
+    dispatcher = requestDispatcher;
     return this;
   }
 
-  /** Sets where answers are completed; the log's own threads never run a caller's code. */
+  /** Sets the executor that completes futures, so that log threads never run a caller's code. */
   public ReplicatedLogBuilder callbacks(Executor value) {
     callbacks = value;
     return this;
   }
 
-  /** Sets the clock; default is that of the runtime. */
+  /** Sets the clock; the default is the system clock. */
   public ReplicatedLogBuilder clock(MonotonicClock value) {
     clock = value;
     return this;
   }
 
   /**
-   * Sets the source of election timeouts and of the replica id of a new folder. It must differ on
-   * each host and at each start, as a {@link java.security.SecureRandom} does.
+   * Sets the random source of election timeouts and of the replica id of a new data folder. It must
+   * be seeded differently on each host and at each start, as a {@link java.security.SecureRandom}
+   * is.
    */
   public ReplicatedLogBuilder random(RandomGenerator value) {
     random = value;
     return this;
   }
 
-  /** Sets who is told of leadership and failure. */
+  /** Sets the listener for leadership changes and failures; the default ignores them. */
   public ReplicatedLogBuilder listener(LogListener value) {
     listener = value;
     return this;
   }
 
-  /** Sets the options; default is {@link ReplicatedLogOptions#defaults()}. */
+  /** Sets the options; the default is {@link ReplicatedLogOptions#defaults()}. */
   public ReplicatedLogBuilder options(ReplicatedLogOptions value) {
     options = value;
     return this;
@@ -113,17 +117,17 @@
   /**
    * Opens the data folder and starts the log.
    *
-   * @throws AlderyardException if the settings or the folder can't be used
+   * @throws AlderyardException if the settings or the data folder cannot be used
    */
   public ReplicatedLog start() {
     Objects.requireNonNull(clusterId, "clusterId");
     Objects.requireNonNull(host, "host");
     Objects.requireNonNull(dataFolder, "dataFolder");
-    Objects.requireNonNull(machine, "machine");
+    Objects.requireNonNull(stateMachine, "machine");
     Objects.requireNonNull(links, "network");
     Objects.requireNonNull(callbacks, "callbacks");
     Objects.requireNonNull(random, "random");
-    if (open.isEmpty() && !members.contains(address)) {
+    if (openMembership.isEmpty() && !members.contains(address)) {
       throw AlderyardException.notRun(
           ErrorCode.SETTINGS_INVALID,
           "this host's inner address " + address + " is not among the control hosts " + members);
--- a/alderyard-control/src/main/java/org/alderyard/control/log/ReplicatedLogOptions.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/log/ReplicatedLogOptions.java
@@ -4,16 +4,17 @@
 import org.alderyard.control.raft.RaftOptions;
 
 /**
- * The settings of the replicated log of one host.
+ * Options of the replicated log on one host.
  *
- * @param raft the settings of the agreement
- * @param tick how often the time is looked at
- * @param joinInterval how often a host that isn't a voter yet speaks to the others
- * @param sendTimeout how long the receipt of a batch of messages may take
- * @param snapshotEntries after how many applied entries a snapshot is taken
- * @param keepEntries how many entries before a snapshot stay for slow replicas
- * @param maxPending the most proposals without an answer
- * @param maxCommandBytes the largest command
+ * @param raft options of the Raft protocol
+ * @param tick interval at which timeouts are checked
+ * @param joinInterval interval at which a host that is not a voter yet sends join requests
+ * @param sendTimeout timeout for the acknowledgement of a message batch, and for a join request
+ * @param snapshotEntries number of applied entries after which a snapshot is taken
+ * @param keepEntries number of entries before a snapshot that are kept for slow replicas
+ * @param maxPending number of pending proposals and unconfirmed reads at which new proposals are
+ *     refused
+ * @param maxCommandBytes maximum size of a command
  */
 public record ReplicatedLogOptions(
     RaftOptions raft,
@@ -24,10 +25,10 @@
     long keepEntries,
     int maxPending,
     int maxCommandBytes) {
-  /** The largest command of a log with the usual options. */
+  /** Default maximum size of a command. */
   public static final int DEFAULT_MAX_COMMAND_BYTES = 4 * 1024 * 1024;
 
-  /** Returns the defaults. */
+  /** Returns the options that a log has unless others are set. */
   public static ReplicatedLogOptions defaults() {
     return new ReplicatedLogOptions(
         RaftOptions.defaults(),
--- a/alderyard-control/src/main/java/org/alderyard/control/log/SerialLoop.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/log/SerialLoop.java
@@ -6,11 +6,11 @@
 import java.util.function.Consumer;
 
 /**
- * Runs steps one at a time, in their order, on the threads of a pool; after each run of steps it
- * calls a flush once, so that steps which came together share one sync.
+ * Runs steps sequentially, in the order of submission, on a shared executor. A flush callback runs
+ * once after each batch of steps, so that the steps of a batch share one disk sync.
  */
 final class SerialLoop {
-  private static final int MAX_STEPS_A_RUN = 1_000;
+  private static final int MAX_STEPS_PER_BATCH = 1_000;
 
   private final Executor executor;
   private final Runnable flush;
@@ -27,7 +27,7 @@
     this.onFailure = onFailure;
   }
 
-  /** Adds a step; returns false once the loop is stopped. */
+  /** Queues a step; returns false if the loop has been stopped. Thread-safe. */
   boolean submit(Runnable step) {
     synchronized (lock) {
       if (stopped) {
@@ -39,23 +39,25 @@
       }
       running = true;
     }
-    executor.execute(this::run);
+    executor.execute(this::runBatch);
     return true;
   }
 
-  /** Takes no further steps; those that were taken still run. */
+  /** Rejects further steps; steps already queued still run. */
   void stop() {
     synchronized (lock) {
       stopped = true;
     }
   }
 
-  private void run() {
+  private void runBatch() {
     try {
-      int done = 0;
-      for (Runnable step = next(done); step != null; step = next(done)) {
+      int completedSteps = 0;
+      for (Runnable step = pollStep(completedSteps);
+          step != null;
+          step = pollStep(completedSteps)) {
         step.run();
-        done++;
+        completedSteps++;
       }
       flush.run();
     } catch (RuntimeException failure) {
@@ -67,12 +69,12 @@
         return;
       }
     }
-    executor.execute(this::run);
+    executor.execute(this::runBatch);
   }
 
-  private Runnable next(int done) {
+  private Runnable pollStep(int completedSteps) {
     synchronized (lock) {
-      return done < MAX_STEPS_A_RUN ? steps.poll() : null;
+      return completedSteps < MAX_STEPS_PER_BATCH ? steps.poll() : null;
     }
   }
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/log/StateMachine.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/log/StateMachine.java
@@ -2,21 +2,24 @@
 
 import com.google.protobuf.ByteString;
 
-/** What the log's commands act on; each call comes from one thread at a time, in log order. */
+/**
+ * Deterministic state to which the commands of the log are applied. Calls are made in log order, by
+ * one thread at a time.
+ */
 public interface StateMachine {
 
   /**
-   * Applies a committed command; the same commands give the same state on every host.
+   * Applies a committed command; the same commands must produce the same state on every host.
    *
-   * @param index the place of the command in the log
+   * @param index the index of the command in the log
    * @param command the serialized command
-   * @return the answer for the proposer
+   * @return the result for the proposer
    */
   ByteString apply(long index, ByteString command);
 
-  /** Returns the whole state. */
+  /** Serializes the whole state. */
   ByteString snapshot();
 
-  /** Replaces the whole state by a snapshot taken at the given index. */
+  /** Replaces the whole state with a snapshot taken at the given index. */
   void restore(long index, ByteString snapshot);
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/log/package-info.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/log/package-info.java
@@ -1,2 +1,2 @@
-/** The replicated log that orders every change of control state. */
+/** The Raft-replicated log that orders all changes to the control state. */
 package org.alderyard.control.log;
--- a/alderyard-control/src/test/java/org/alderyard/control/log/FormationTest.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/log/FormationTest.java
@@ -15,9 +15,9 @@
 import org.alderyard.protocol.generated.raft.MemberList;
 import org.junit.jupiter.api.Test;
 
-/** Who founds a cluster, who joins it, and in which steps a replica is replaced. */
+/** Tests how a cluster is founded and joined, and how a replica is replaced. */
 class FormationTest {
-  private static final List<String> OTHERS = List.of("b", "c");
+  private static final List<String> OTHER_HOSTS = List.of("b", "c");
   private static final MemberList FOUNDERS = list(voter(1, "a"), voter(2, "b"), voter(3, "c"));
 
   private static Member learner(long id, String name) {
@@ -43,19 +43,19 @@
   private static Formation.Decision decide(
       long self, MemberList recorded, Map<String, JoinReply> replies) {
     FolderIdentity identity = FolderIdentity.newBuilder().setFounders(recorded).build();
-    return Formation.decide(learner(self, "a"), identity, OTHERS, replies);
+    return Formation.decide(learner(self, "a"), identity, OTHER_HOSTS, replies);
   }
 
   @Test
-  void clusterIsFoundedOnceAllRecordedTheSameList() {
+  void foundsClusterOnceAllHostsRecordedTheSameFounders() {
     MemberList none = MemberList.getDefaultInstance();
-    JoinReply third = reply(3, "c", none, false);
-    assertThat(decide(1, none, Map.of("c", third)).action()).isEqualTo(Action.WAIT);
+    JoinReply thirdHost = reply(3, "c", none, false);
+    assertThat(decide(1, none, Map.of("c", thirdHost)).action()).isEqualTo(Action.WAIT);
 
-    Map<String, JoinReply> fresh = Map.of("b", reply(2, "b", none, false), "c", third);
-    assertThat(decide(1, none, fresh).action()).isEqualTo(Action.RECORD);
-    assertThat(decide(1, none, fresh).founders()).isEqualTo(FOUNDERS);
-    assertThat(decide(1, FOUNDERS, fresh).reason()).isEqualTo("founders-differ");
+    Map<String, JoinReply> notRecorded = Map.of("b", reply(2, "b", none, false), "c", thirdHost);
+    assertThat(decide(1, none, notRecorded).action()).isEqualTo(Action.RECORD);
+    assertThat(decide(1, none, notRecorded).founders()).isEqualTo(FOUNDERS);
+    assertThat(decide(1, FOUNDERS, notRecorded).reason()).isEqualTo("founders-differ");
 
     Map<String, JoinReply> agreed =
         Map.of("b", reply(2, "b", FOUNDERS, false), "c", reply(3, "c", FOUNDERS, false));
@@ -63,19 +63,19 @@
   }
 
   /**
-   * A voter's disk is wiped right after the cluster was founded, and one more host is down. The
-   * voter asks the host that is left; to found anything would give its vote a second time.
+   * A voter's disk is wiped right after the cluster is founded, while another host is down. If the
+   * voter founded a cluster again, it could vote twice, so it must join through the remaining host.
    */
   @Test
-  void wipedFounderJoinsUnderItsNewId() {
+  void wipedFounderJoinsWithNewReplicaId() {
     Map<String, JoinReply> replies = Map.of("b", reply(2, "b", FOUNDERS, true));
     assertThat(decide(9, MemberList.getDefaultInstance(), replies).action()).isEqualTo(Action.JOIN);
     assertThat(decide(1, FOUNDERS, replies).action()).isEqualTo(Action.FOUND);
   }
 
-  /** A host that joined later knows no founders, so its word decides nothing. */
+  /** A host that joined later knows no founders, so its reply does not decide the formation. */
   @Test
-  void newcomerIsNoWitnessOfTheFoundation() {
+  void replyOfLaterMemberDoesNotDecideFormation() {
     JoinReply newcomer = reply(7, "c", MemberList.getDefaultInstance(), true);
     assertThat(decide(1, FOUNDERS, Map.of("c", newcomer)).action()).isEqualTo(Action.WAIT);
     Map<String, JoinReply> both = Map.of("b", reply(2, "b", FOUNDERS, true), "c", newcomer);
@@ -83,11 +83,11 @@
   }
 
   /**
-   * Over the years every host's disk was replaced once, and now one is lost again. Nobody is left
-   * who knows the founders; the host must still be taken in, and must not found a second cluster.
+   * Every host's disk has been replaced, so no host knows the founders any more, and then one disk
+   * is lost again. The host must still be able to join, and must not found a second cluster.
    */
   @Test
-  void wipedHostJoinsWhenAllFoundersAreGone() {
+  void wipedHostJoinsWhenNoFounderIsLeft() {
     MemberList none = MemberList.getDefaultInstance();
     Map<String, JoinReply> replies =
         Map.of("b", reply(7, "b", none, true), "c", reply(8, "c", none, true));
@@ -98,23 +98,26 @@
   }
 
   @Test
-  void replicaLearnsBeforeTheOldOneGoesAndVotesLast() {
+  void replacesReplicaInOrderLearnerRemovalPromotion() {
     Member returned = learner(9, "c");
-    Membership now = new Membership(FOUNDERS);
-    RepairPlan unknown = new RepairPlan(now, id -> true);
-    assertThat(unknown.next(List.of(returned))).hasValue(new AddLearner(returned));
-
-    now = now.with(returned);
-    assertThat(new RepairPlan(now, id -> false).next(List.of(returned))).isEmpty();
-    assertThat(new RepairPlan(now, id -> true).next(List.of(returned))).hasValue(new Remove(3));
-
-    now = now.without(3);
-    assertThat(new RepairPlan(now, id -> true).next(List.of(returned))).hasValue(new Promote(9));
+    Membership membership = new Membership(FOUNDERS);
+    MembershipRepairPlan notMember = new MembershipRepairPlan(membership, id -> true);
+    assertThat(notMember.nextChange(List.of(returned))).hasValue(new AddLearner(returned));
+
+    membership = membership.with(returned);
+    assertThat(new MembershipRepairPlan(membership, id -> false).nextChange(List.of(returned)))
+        .isEmpty();
+    assertThat(new MembershipRepairPlan(membership, id -> true).nextChange(List.of(returned)))
+        .hasValue(new Remove(3));
+
+    membership = membership.without(3);
+    assertThat(new MembershipRepairPlan(membership, id -> true).nextChange(List.of(returned)))
+        .hasValue(new Promote(9));
   }
 
   /**
-   * Every host lost its disk, or a host starts anew long after the foundation: whatever its seeds
-   * answer, it must not found a second cluster beside the first.
+   * All hosts lose their disks, or a new host starts long after the cluster was founded. Whatever
+   * its seeds reply, the host must not found a second cluster.
    */
   @Test
   void hostThatMayNotFoundOnlyJoins() {
@@ -128,19 +131,23 @@
         .isEqualTo(Action.JOIN);
   }
 
-  /** A machine is replaced by an empty one with another name: it takes the lost voter's seat. */
+  /** An empty host with a new name replaces a lost voter, and only a lost voter. */
   @Test
-  void newHostTakesTheSeatOfLostVoterAndOfNoOther() {
+  void newHostReplacesOnlyLostVoter() {
     Member newcomer = learner(9, "d");
-    Membership now = new Membership(list(voter(1, "a"), voter(2, "b"), voter(3, "c"), newcomer));
-    RepairPlan calm = new RepairPlan(now, id -> true, 3, id -> false);
-    assertThat(calm.next(List.of(newcomer))).isEmpty();
-
-    RepairPlan lost = new RepairPlan(now, id -> true, 3, id -> id == 2);
-    assertThat(lost.next(List.of(newcomer))).hasValue(new Remove(2));
-
-    Membership smaller = now.without(2);
-    RepairPlan seat = new RepairPlan(smaller, id -> true, 3, id -> false);
-    assertThat(seat.next(List.of(newcomer))).hasValue(new Promote(9));
+    Membership membership =
+        new Membership(list(voter(1, "a"), voter(2, "b"), voter(3, "c"), newcomer));
+    MembershipRepairPlan noVoterLost =
+        new MembershipRepairPlan(membership, id -> true, 3, id -> false);
+    assertThat(noVoterLost.nextChange(List.of(newcomer))).isEmpty();
+
+    MembershipRepairPlan voterLost =
+        new MembershipRepairPlan(membership, id -> true, 3, id -> id == 2);
+    assertThat(voterLost.nextChange(List.of(newcomer))).hasValue(new Remove(2));
+
+    Membership withoutLostVoter = membership.without(2);
+    MembershipRepairPlan voterMissing =
+        new MembershipRepairPlan(withoutLostVoter, id -> true, 3, id -> false);
+    assertThat(voterMissing.nextChange(List.of(newcomer))).hasValue(new Promote(9));
   }
 }
--- a/alderyard-control/src/test/java/org/alderyard/control/log/LeaderWaitsTest.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/log/LeaderWaitsTest.java
@@ -9,42 +9,43 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * All hosts start at once after a loss of power and ask the control hosts for a view. There is no
- * leader yet. Each was refused, and asked the next control host, ten times a second, while the
- * control hosts were busy electing the leader that all of them waited for.
+ * Guards against request storms when all hosts start simultaneously after a power loss and request
+ * a view before a leader is elected. Without the wait, each host was refused and retried at the
+ * next control host ten times a second, which loaded the control hosts during the election.
  */
 class LeaderWaitsTest {
-  private static final Duration LONG = Duration.ofMinutes(1);
+  private static final Duration LONG_TIMEOUT = Duration.ofMinutes(1);
 
-  private final LeaderWaits waits = new LeaderWaits();
+  private final LeaderWaits queue = new LeaderWaits();
 
   @Test
-  void waitEndsOnceSomebodyLeads() {
-    List<CompletableFuture<Void>> hosts = List.of(waits.await(LONG), waits.await(LONG));
-    assertThat(hosts.stream().anyMatch(CompletableFuture::isDone)).isFalse();
+  void completesOnceLeaderIsKnown() {
+    List<CompletableFuture<Void>> futures =
+        List.of(queue.awaitLeader(LONG_TIMEOUT), queue.awaitLeader(LONG_TIMEOUT));
+    assertThat(futures.stream().anyMatch(CompletableFuture::isDone)).isFalse();
 
-    waits.update(true);
+    queue.setLeaderKnown(true);
 
-    assertThat(hosts.stream().allMatch(CompletableFuture::isDone)).isTrue();
+    assertThat(futures.stream().allMatch(CompletableFuture::isDone)).isTrue();
   }
 
   @Test
-  void thereIsNoWaitWhileSomebodyLeads() {
-    waits.update(true);
+  void completesImmediatelyWhileLeaderIsKnown() {
+    queue.setLeaderKnown(true);
 
-    assertThat(waits.await(LONG).isDone()).isTrue();
+    assertThat(queue.awaitLeader(LONG_TIMEOUT).isDone()).isTrue();
   }
 
   @Test
-  void lostLeaderIsWaitedForAgain() {
-    waits.update(true);
-    waits.update(false);
+  void waitsAgainAfterLeaderIsLost() {
+    queue.setLeaderKnown(true);
+    queue.setLeaderKnown(false);
 
-    assertThat(waits.await(LONG).isDone()).isFalse();
+    assertThat(queue.awaitLeader(LONG_TIMEOUT).isDone()).isFalse();
   }
 
   @Test
-  void waitEndsWithItsTime() throws Exception {
-    waits.await(Duration.ofMillis(1)).get(20, TimeUnit.SECONDS);
+  void completesWhenTimeoutExpires() throws Exception {
+    queue.awaitLeader(Duration.ofMillis(1)).get(20, TimeUnit.SECONDS);
   }
 }
--- a/alderyard-control/src/test/java/org/alderyard/control/log/LogHost.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/log/LogHost.java
@@ -19,10 +19,10 @@
 import org.alderyard.protocol.wire.PeerLinks;
 import org.alderyard.protocol.wire.ProtocolOptions;
 
-/** One control host in this process, over real sockets and files. */
+/** Control host inside the test process that uses real sockets and files. */
 final class LogHost implements StateMachine, LogListener, AutoCloseable {
   static final ReplicatedLogOptions OPTIONS = options(50, 5);
-  private static final Duration PATIENCE = Duration.ofSeconds(60);
+  private static final Duration AWAIT_TIMEOUT = Duration.ofSeconds(60);
 
   final List<String> applied = new ArrayList<>();
   final List<String> leadership = new CopyOnWriteArrayList<>();
@@ -56,24 +56,24 @@
   }
 
   private static ReplicatedLogOptions options(long snapshotEntries, long keepEntries) {
-    ReplicatedLogOptions preset = ReplicatedLogOptions.defaults();
+    ReplicatedLogOptions defaults = ReplicatedLogOptions.defaults();
     return new ReplicatedLogOptions(
-        preset.raft(),
-        preset.tick(),
+        defaults.raft(),
+        defaults.tick(),
         Duration.ofMillis(50),
-        preset.sendTimeout(),
+        defaults.sendTimeout(),
         snapshotEntries,
         keepEntries,
-        preset.maxPending(),
+        defaults.maxPending(),
         1_000);
   }
 
-  /** Waits for what must come; the limit is far beyond what it takes. */
-  static void await(String what, BooleanSupplier condition) {
-    long deadlineNanos = System.nanoTime() + PATIENCE.toNanos();
+  /** Waits until the condition holds; the timeout is far above the expected time. */
+  static void await(String description, BooleanSupplier condition) {
+    long deadlineNanos = System.nanoTime() + AWAIT_TIMEOUT.toNanos();
     while (!condition.getAsBoolean()) {
       if (System.nanoTime() > deadlineNanos) {
-        throw new AssertionError("did not come: " + what);
+        throw new AssertionError("timed out waiting for: " + description);
       }
       Thread.onSpinWait();
     }
@@ -117,12 +117,12 @@
     failure = cause;
   }
 
-  /** Ends this host without a farewell. */
+  /** Stops this host without a leadership transfer, as in a crash. */
   void kill() {
     server.close();
     links.close();
     log.stop();
-    free();
+    closeThreads();
   }
 
   @Override
@@ -130,10 +130,10 @@
     log.close();
     server.close();
     links.close();
-    free();
+    closeThreads();
   }
 
-  private void free() {
+  private void closeThreads() {
     loops.close();
     workers.close();
   }
--- a/alderyard-control/src/test/java/org/alderyard/control/log/ReplicatedLogTest.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/log/ReplicatedLogTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Three control hosts over real sockets and files. */
+/** Tests the replicated log on three control hosts with real sockets and files. */
 class ReplicatedLogTest {
   @TempDir Path root;
 
@@ -73,7 +73,10 @@
     return hosts.keySet().stream().filter(number -> number != leader).findFirst().orElseThrow();
   }
 
-  /** Proposes until it is accepted; one whose outcome is unknown counts if it was applied. */
+  /**
+   * Proposes a command until it is accepted. A command whose outcome is unknown is proposed again,
+   * so it may be applied twice.
+   */
   private void propose(String command) {
     while (true) {
       try {
@@ -94,9 +97,9 @@
     }
   }
 
-  private void awaitEqual() {
+  private void awaitReplication() {
     LogHost.await(
-        "all hosts hold " + accepted.size() + " commands",
+        "all " + accepted.size() + " commands on all hosts",
         () -> hosts.values().stream().allMatch(host -> host.commands().containsAll(accepted)));
     for (LogHost host : hosts.values()) {
       assertThat(host.commands().stream().distinct().filter(accepted::contains).toList())
@@ -110,54 +113,54 @@
   }
 
   /**
-   * An operator's changes go on while the leader's process is killed. The next leader takes over
-   * with everything that was accepted; the killed host restarts from its disk and catches up.
+   * The leader's process is killed between changes. The next leader must hold all accepted
+   * commands, and the killed host must restart from its disk and catch up.
    */
   @Test
-  void leaderIsKilledAndRestartsFromDisk() {
+  void killedLeaderRestartsFromDiskAndCatchesUp() {
     startAll();
     proposeMany(5);
     int killed = leader();
     kill(killed);
     proposeMany(5);
-    awaitEqual();
+    awaitReplication();
     start(killed);
-    awaitEqual();
+    awaitReplication();
     assertThat(hosts.get(killed).log().term()).isGreaterThan(0);
   }
 
   /**
-   * A host is down for hundreds of changes. The others have trimmed their logs, so it gets a
-   * snapshot and then the rest. Then all three restart at once, from their snapshots and logs.
+   * A host is down for hundreds of changes, and the other hosts have trimmed their logs, so the
+   * host must catch up from a snapshot. Then all three hosts restart from their snapshots and logs.
    */
   @Test
-  void hostIsDownForHundredsOfChanges() {
+  void hostCatchesUpFromSnapshotAfterHundredsOfChanges() {
     startAll();
     proposeMany(3);
-    int late = follower();
-    kill(late);
+    int stoppedHost = follower();
+    kill(stoppedHost);
     proposeMany(300);
     LogHost leader = hosts.get(leader());
     LogHost.await("a snapshot", () -> leader.log().status().snapshotIndex() > 200);
-    start(late);
-    awaitEqual();
-    assertThat(hosts.get(late).log().status().snapshotIndex()).isGreaterThan(200);
+    start(stoppedHost);
+    awaitReplication();
+    assertThat(hosts.get(stoppedHost).log().status().snapshotIndex()).isGreaterThan(200);
 
     for (int number = 0; number < members.size(); number++) {
       kill(number);
     }
     startAll();
     proposeMany(1);
-    awaitEqual();
+    awaitReplication();
   }
 
   /**
-   * A host's disk is wiped and the host starts again under its name, with the settings of before.
-   * It comes back as another replica, without anyone's help; the old replica id is gone. Right
-   * after that a second host is lost, and the two that are left go on with all changes.
+   * A host's disk is wiped, and the host restarts with the same name and settings. It must rejoin
+   * with a new replica id without operator action, and the old id must be removed. Then a second
+   * host is lost, and the remaining two must keep all changes and accept new ones.
    */
   @Test
-  void wipedHostIsTakenInAgainAndAnotherIsLost() throws Exception {
+  void wipedHostRejoinsBeforeAnotherHostIsLost() throws Exception {
     startAll();
     proposeMany(120);
     int wiped = follower();
@@ -166,7 +169,7 @@
     wipe(wiped);
     LogHost returned = start(wiped);
     LogHost.await(
-        "a vote under another id",
+        "a voter with a new replica id",
         () -> {
           List<Long> voters = returned.log().status().membership().voters();
           return voters.size() == 3 && !voters.contains(old);
@@ -175,7 +178,7 @@
 
     kill(hosts.keySet().stream().filter(number -> number != wiped).findFirst().orElseThrow());
     proposeMany(2);
-    awaitEqual();
+    awaitReplication();
   }
 
   private long replicaOf(int number) {
@@ -191,14 +194,14 @@
     }
   }
 
-  /** A caller asks a host that does not lead: it learns that nothing ran, and where to go. */
+  /** A follower's refusal must state that nothing ran and name the leader. */
   @Test
-  void followerRefusesAndNamesTheLeader() {
+  void followerRefusesProposalAndNamesLeader() {
     startAll();
     proposeMany(1);
     int leader = leader();
     LogHost follower = hosts.get(follower());
-    LogHost.await("the leader is known", () -> follower.log().leader().isPresent());
+    LogHost.await("a known leader", () -> follower.log().leader().isPresent());
 
     AlderyardException error =
         failure(follower.log().propose(ByteString.copyFromUtf8("elsewhere")));
@@ -208,15 +211,15 @@
     assertThat(error.retryAfterMillis().isPresent()).isTrue();
     assertThat(failure(follower.log().readBarrier()).code()).isEqualTo(ErrorCode.NOT_LEADER);
     hosts.get(leader).log().readBarrier().join();
-    awaitEqual();
+    awaitReplication();
   }
 
   /**
-   * A majority is lost. A change that the leader had taken is not held until some deadline: when
-   * the leader steps down the caller is told at once that the outcome is unknown.
+   * The majority is lost after the leader accepted a command. When the leader steps down, the
+   * proposal must fail immediately with an unknown outcome, not only at a deadline.
    */
   @Test
-  void leaderWithoutMajorityStepsDownAndAnswers() {
+  void leaderWithoutMajorityStepsDownAndFailsProposals() {
     startAll();
     proposeMany(1);
     int leader = leader();
@@ -225,36 +228,37 @@
 
     AlderyardException error = failure(log.propose(ByteString.copyFromUtf8("no majority")));
     assertThat(error.code()).isEqualTo(ErrorCode.NOT_LEADER);
-    LogHost.await("the leader steps down", () -> !log.leading());
-    // The listener is told after the status has changed.
-    List<String> told = hosts.get(leader).leadership;
-    LogHost.await("the listener is told", () -> told.size() >= 2);
-    assertThat(told).hasSize(2);
-    assertThat(told.get(0)).endsWith("leads");
-    assertThat(told.get(1)).endsWith("ends");
+    LogHost.await("the resignation of the leader", () -> !log.leading());
+    // The listener is notified after the status has changed.
+    List<String> notifications = hosts.get(leader).leadership;
+    LogHost.await("the notification of the listener", () -> notifications.size() >= 2);
+    assertThat(notifications).hasSize(2);
+    assertThat(notifications.get(0)).endsWith("leads");
+    assertThat(notifications.get(1)).endsWith("ends");
   }
 
-  /** An operator stops the leader's process: it hands over, and says so, before it ends. */
+  /** The leader is stopped by an operator and must transfer leadership before it exits. */
   @Test
-  void closedLeaderHandsOver() {
+  void closedLeaderTransfersLeadership() {
     startAll();
     proposeMany(3);
     int closed = leader();
     hosts.remove(closed).close();
     proposeMany(1);
-    awaitEqual();
+    awaitReplication();
   }
 
-  /** A host was removed by an operator; it restarts, and neither votes nor asks to come back. */
+  /** A host removed by an operator restarts, and must neither vote nor request to rejoin. */
   @Test
-  void removedHostThatReturnsDisturbsNobody() {
+  void removedHostNeitherVotesNorRejoins() {
     startAll();
     proposeMany(1);
     int removed = follower();
     LogHost leader = hosts.get(leader());
     final long replica = replicaOf(removed);
     kill(removed);
-    assertThat(leader.log().change(new Remove(replica)).join()).isEqualTo(Verdict.ACCEPTED);
+    assertThat(leader.log().changeMembership(new Remove(replica)).join())
+        .isEqualTo(Verdict.ACCEPTED);
     proposeMany(1);
     start(removed);
     proposeMany(60);
@@ -263,20 +267,20 @@
     assertThat(hosts.get(removed).commands()).doesNotContain("command-60");
   }
 
-  /** A command that the state machine can't apply stops the host; nothing after it is applied. */
+  /** A command that the state machine fails to apply must stop the host; later commands fail. */
   @Test
-  void failureOfTheStateMachineStopsTheHost() {
+  void stateMachineFailureStopsHost() {
     startAll();
     LogHost leader = hosts.get(leader());
     AlderyardException error = failure(leader.log().propose(ByteString.copyFromUtf8("poison")));
     assertThat(error.outcome()).isEqualTo(Outcome.OUTCOME_UNKNOWN);
-    LogHost.await("the listener hears of it", () -> leader.failure != null);
+    LogHost.await("the failure notification of the listener", () -> leader.failure != null);
     assertThat(failure(leader.log().propose(ByteString.EMPTY)).outcome())
         .isEqualTo(Outcome.NOT_RUN);
   }
 
   @Test
-  void commandThatIsTooLargeIsRefused() {
+  void refusesCommandAboveSizeLimit() {
     startAll();
     AlderyardException error =
         failure(hosts.get(leader()).log().propose(ByteString.copyFrom(new byte[1_001])));
