--- a/alderyard-control/src/main/java/org/alderyard/control/log/ReplicaHost.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/log/ReplicaHost.java
@@ -16,7 +16,7 @@
 import org.alderyard.control.raft.RaftCore;
 import org.alderyard.control.raft.Role;
 import org.alderyard.control.store.DataFolder;
-import org.alderyard.control.store.Recovered;
+import org.alderyard.control.store.RecoveredState;
 import org.alderyard.control.store.ReplicaStore;
 import org.alderyard.protocol.generated.raft.JoinReply;
 import org.alderyard.protocol.generated.raft.JoinRequest;
@@ -142,7 +142,7 @@
   private void openLog() {
     Membership founders = new Membership(folder.identity().getFounders());
     ReplicaStore store = new ReplicaStore(folder, founders);
-    Recovered recovered = store.recovered();
+    RecoveredState recovered = store.recovered();
     RaftCore core =
         new RaftCore(
             self.getReplicaId(),
@@ -247,7 +247,7 @@
   private void recordAdmission() {
     boolean admitted = folder.identity().getAdmitted() || !isNewcomer();
     if (!admitted && driver.core().membership().isVoter(self.getReplicaId())) {
-      folder.write(folder.identity().toBuilder().setAdmitted(true).build());
+      folder.writeIdentity(folder.identity().toBuilder().setAdmitted(true).build());
       log.info("event=admitted replica={}", self.getReplicaId());
     }
   }
@@ -281,7 +281,8 @@
   }
 
   private void record(MemberList founders, boolean formed) {
-    folder.write(folder.identity().toBuilder().setFounders(founders).setFormed(formed).build());
+    folder.writeIdentity(
+        folder.identity().toBuilder().setFounders(founders).setFormed(formed).build());
   }
 
   private void repairMembership(long nowMillis) {
--- a/alderyard-control/src/main/java/org/alderyard/control/store/WholeFile.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/store/AtomicFile.java
@@ -8,24 +8,24 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Files that are written once as a whole: the old content or the new one is there, never a mix. */
-final class WholeFile {
+/** Replaces files atomically: after a crash, a file has either its old or its new content. */
+final class AtomicFile {
   static final String TEMPORARY_SUFFIX = ".tmp";
 
   private final SyncedFile.Opener opener;
 
-  WholeFile(SyncedFile.Opener opener) {
+  AtomicFile(SyncedFile.Opener opener) {
     this.opener = opener;
   }
 
-  /** Writes to a temporary name, syncs, renames and syncs the folder. */
+  /** Writes and syncs a temporary file, renames it to the path, and syncs the folder. */
   void write(Path path, List<byte[]> payloads) {
     Path temporary = path.resolveSibling(path.getFileName() + TEMPORARY_SUFFIX);
     try {
       Files.deleteIfExists(temporary);
       try (SyncedFile file = opener.open(temporary)) {
         for (byte[] payload : payloads) {
-          ByteBuffer frame = FrameFormat.frame(payload);
+          ByteBuffer frame = FrameFormat.encode(payload);
           file.append(frame);
         }
         file.sync();
@@ -37,26 +37,31 @@
     }
   }
 
-  /** Reads all frames; any fault is damage, since the file got its name only once synced. */
-  static List<byte[]> read(Path path, int expected) {
-    byte[] bytes = bytesOf(path);
+  /**
+   * Reads all frames. An incomplete frame is reported as damage and not as a torn write, since the
+   * file is renamed to the path only after the sync.
+   */
+  static List<byte[]> read(Path path, int expectedFrames) {
+    byte[] bytes = readBytes(path);
     List<byte[]> payloads = new ArrayList<>();
     int position = 0;
-    while (position < bytes.length || payloads.size() < expected) {
-      int at = position;
+    while (position < bytes.length || payloads.size() < expectedFrames) {
+      int framePosition = position;
       byte[] payload =
-          FrameFormat.read(bytes, at)
-              .orElseThrow(() -> StorageException.damaged(path, at, "checksum or length is wrong"));
+          FrameFormat.decode(bytes, framePosition)
+              .orElseThrow(
+                  () ->
+                      StorageException.damaged(path, framePosition, "invalid checksum or length"));
       payloads.add(payload);
       position += FrameFormat.HEADER_BYTES + payload.length;
     }
-    if (payloads.size() != expected) {
-      throw StorageException.damaged(path, position, "more than " + expected + " frames");
+    if (payloads.size() != expectedFrames) {
+      throw StorageException.damaged(path, position, "more than " + expectedFrames + " frames");
     }
     return payloads;
   }
 
-  static byte[] bytesOf(Path path) {
+  static byte[] readBytes(Path path) {
     try {
       return Files.readAllBytes(path);
     } catch (IOException failure) {
--- a/alderyard-control/src/main/java/org/alderyard/control/store/DataFolder.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/store/DataFolder.java
@@ -15,36 +15,37 @@
 import org.alderyard.protocol.generated.raft.FolderIdentity;
 
 /**
- * The data folder of one control host: locked while it is open, and bound to a cluster, a host and
- * a replica id.
+ * Data folder of one control host. The folder is locked while it is open, and belongs to one
+ * cluster, host and replica id.
  *
- * <p>The replica id is drawn when the folder is created. So a wiped disk has another one, and the
- * promises that were lost with the disk can't be mistaken for those of the new one.
+ * <p>The replica id is generated when the folder is created. A host with a wiped disk therefore
+ * gets a new id, so that votes and acknowledgements lost with the old disk are not attributed to
+ * the new replica.
  */
 public final class DataFolder implements AutoCloseable {
-  private static final String LOCK = "lock";
-  private static final String IDENTITY = "identity";
+  private static final String LOCK_FILE = "lock";
+  private static final String IDENTITY_FILE = "identity";
 
   private final Path path;
-  private final WholeFile wholeFile;
+  private final AtomicFile atomicFile;
   private final FileChannel lockFile;
   private FolderIdentity identity;
 
-  private DataFolder(Path path, WholeFile wholeFile, FileChannel lockFile) {
+  private DataFolder(Path path, AtomicFile atomicFile, FileChannel lockFile) {
     this.path = path;
-    this.wholeFile = wholeFile;
+    this.atomicFile = atomicFile;
     this.lockFile = lockFile;
   }
 
   /**
-   * Opens or creates a folder.
+   * Opens or creates a data folder and locks it.
    *
-   * @param path the folder
-   * @param clusterId the cluster that it must belong to
-   * @param host the host that it must belong to
-   * @param random draws the replica id of a new folder
-   * @throws StorageException if another process uses it, it belongs to another cluster or host, or
-   *     it is damaged
+   * @param path the path of the folder
+   * @param clusterId the cluster that the folder must belong to
+   * @param host the host that the folder must belong to
+   * @param random generates the replica id of a new folder
+   * @throws StorageException if the folder is in use by another process, belongs to another cluster
+   *     or host, or is damaged
    */
   public static DataFolder open(Path path, String clusterId, HostId host, RandomGenerator random) {
     return open(path, clusterId, host, random, SyncedFile::openOnDisk);
@@ -52,10 +53,10 @@
 
   static DataFolder open(
       Path path, String clusterId, HostId host, RandomGenerator random, SyncedFile.Opener opener) {
-    DataFolder folder = new DataFolder(path, new WholeFile(opener), lock(path));
+    DataFolder folder = new DataFolder(path, new AtomicFile(opener), lock(path));
     try {
-      folder.removeTemporaryFiles();
-      folder.identify(clusterId, host, random);
+      folder.deleteTemporaryFiles();
+      folder.loadOrCreateIdentity(clusterId, host, random);
       return folder;
     } catch (RuntimeException failure) {
       folder.close();
@@ -67,12 +68,13 @@
     try {
       Files.createDirectories(path);
       FileChannel channel =
-          FileChannel.open(path.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+          FileChannel.open(
+              path.resolve(LOCK_FILE), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
       FileLock lock = tryLock(channel);
       if (lock == null) {
         channel.close();
         throw StorageException.refused(
-            path, "another process uses this data folder; stop it first");
+            path, "another process uses this data folder; stop that process first");
       }
       return channel;
     } catch (IOException failure) {
@@ -88,19 +90,19 @@
     }
   }
 
-  private void removeTemporaryFiles() {
-    for (Path file : files()) {
-      if (file.toString().endsWith(WholeFile.TEMPORARY_SUFFIX)) {
+  private void deleteTemporaryFiles() {
+    for (Path file : listFiles()) {
+      if (file.toString().endsWith(AtomicFile.TEMPORARY_SUFFIX)) {
         delete(file);
       }
     }
   }
 
-  private void identify(String clusterId, HostId host, RandomGenerator random) {
-    Path file = path.resolve(IDENTITY);
+  private void loadOrCreateIdentity(String clusterId, HostId host, RandomGenerator random) {
+    Path file = path.resolve(IDENTITY_FILE);
     if (!Files.exists(file)) {
-      refuseFilesWithoutIdentity();
-      write(
+      rejectFilesWithoutIdentity();
+      writeIdentity(
           FolderIdentity.newBuilder()
               .setClusterId(clusterId)
               .setHostId(host.value())
@@ -109,56 +111,58 @@
       return;
     }
     try {
-      identity = FolderIdentity.parseFrom(WholeFile.read(file, 1).get(0));
-    } catch (InvalidProtocolBufferException unreadable) {
-      throw StorageException.damaged(file, 0, "not an identity");
+      identity = FolderIdentity.parseFrom(AtomicFile.read(file, 1).get(0));
+    } catch (InvalidProtocolBufferException failure) {
+      throw StorageException.damaged(file, 0, "the content is not a valid identity");
     }
     if (!identity.getClusterId().equals(clusterId)) {
       throw StorageException.refused(
           path,
           "the data folder belongs to cluster '"
               + identity.getClusterId()
-              + "' and the settings name '"
+              + "', but the settings specify '"
               + clusterId
-              + "'; give each cluster its own folder");
+              + "'; use a separate data folder for each cluster");
     }
     if (!identity.getHostId().equals(host.value())) {
       throw StorageException.refused(
           path,
           "the data folder belongs to host '"
               + identity.getHostId()
-              + "' and the settings name '"
+              + "', but the settings specify '"
               + host
-              + "'; a copied folder would vote twice");
+              + "'; two hosts with copies of one folder could vote twice in a term");
     }
   }
 
-  private void refuseFilesWithoutIdentity() {
-    for (Path file : files()) {
-      if (!file.getFileName().toString().equals(LOCK)) {
+  private void rejectFilesWithoutIdentity() {
+    for (Path file : listFiles()) {
+      if (!file.getFileName().toString().equals(LOCK_FILE)) {
         throw StorageException.damaged(
-            path.resolve(IDENTITY), 0, "it is missing though " + file.getFileName() + " is there");
+            path.resolve(IDENTITY_FILE),
+            0,
+            "the file is missing, but " + file.getFileName() + " exists");
       }
     }
   }
 
-  /** Returns whose folder this is. */
+  /** Returns the cluster, host and replica id of this folder, and how far the host has joined. */
   public FolderIdentity identity() {
     return identity;
   }
 
-  /** Replaces the identity; it is synced on return. */
-  public void write(FolderIdentity changed) {
-    wholeFile.write(path.resolve(IDENTITY), List.of(changed.toByteArray()));
-    identity = changed;
+  /** Replaces the identity, which is synced when this method returns. */
+  public void writeIdentity(FolderIdentity newIdentity) {
+    atomicFile.write(path.resolve(IDENTITY_FILE), List.of(newIdentity.toByteArray()));
+    identity = newIdentity;
   }
 
-  /** Returns the folder. */
+  /** Returns the path of the folder. */
   public Path path() {
     return path;
   }
 
-  List<Path> files() {
+  List<Path> listFiles() {
     try (Stream<Path> files = Files.list(path)) {
       return files.sorted().toList();
     } catch (IOException failure) {
@@ -179,7 +183,7 @@
     try {
       lockFile.close();
     } catch (IOException failure) {
-      throw StorageException.failed(path.resolve(LOCK), 0, failure);
+      throw StorageException.failed(path.resolve(LOCK_FILE), 0, failure);
     }
   }
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/store/FrameFormat.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/store/FrameFormat.java
@@ -5,21 +5,22 @@
 import java.util.zip.CRC32C;
 
 /**
- * The frames of which all files are made: length, checksum of the length, checksum of the payload,
- * payload; numbers are 4 bytes, big endian; the checksums are CRC32C.
+ * Encodes and decodes the frames of all files. A frame consists of the length, a checksum of the
+ * length, a checksum of the payload, and the payload. Numbers are 4-byte big-endian integers, and
+ * checksums are CRC32C.
  *
- * <p>The length has a checksum of its own. Without it a damaged length in the middle of a file
- * would look like a frame that the end of the file cut short, and synced data would be dropped.
+ * <p>The length has a separate checksum. Otherwise a damaged length in the middle of a file would
+ * be taken for a frame truncated by a crash, and synced data would be dropped.
  */
 final class FrameFormat {
   static final int HEADER_BYTES = 12;
-  // A length of zeros must not have a checksum of zeros: unwritten space would look like frames.
+  // Prevents a zero length from having a zero checksum: zeroed space would be read as valid frames.
   private static final int LENGTH_SALT = 0x41594c47;
 
   private FrameFormat() {}
 
-  /** Returns a payload as a frame. */
-  static ByteBuffer frame(byte[] payload) {
+  /** Encodes a payload as a frame. */
+  static ByteBuffer encode(byte[] payload) {
     ByteBuffer frame = ByteBuffer.allocate(HEADER_BYTES + payload.length);
     frame.putInt(payload.length);
     frame.putInt(lengthChecksum(payload.length));
@@ -28,24 +29,27 @@
     return frame.flip();
   }
 
-  /** Reads the frame that starts at a position; what comes after it may be anything. */
-  static Optional<byte[]> read(byte[] file, int position) {
-    if (!hasHeader(file, position)) {
+  /**
+   * Decodes the frame at a position, or returns empty if the frame is incomplete or damaged. The
+   * bytes after the frame are ignored.
+   */
+  static Optional<byte[]> decode(byte[] file, int position) {
+    if (!hasValidHeader(file, position)) {
       return Optional.empty();
     }
     ByteBuffer header = ByteBuffer.wrap(file, position, HEADER_BYTES);
     int length = header.getInt();
     int checksum = header.getInt(position + 2 * Integer.BYTES);
-    int start = position + HEADER_BYTES;
-    if (length > file.length - start) {
+    int payloadStart = position + HEADER_BYTES;
+    if (length > file.length - payloadStart) {
       return Optional.empty();
     }
-    byte[] payload = java.util.Arrays.copyOfRange(file, start, start + length);
+    byte[] payload = java.util.Arrays.copyOfRange(file, payloadStart, payloadStart + length);
     return checksum(payload) == checksum ? Optional.of(payload) : Optional.empty();
   }
 
-  /** Returns whether a sound length stands at this position. */
-  static boolean hasHeader(byte[] file, int position) {
+  /** Returns whether there is a header with a valid length checksum at this position. */
+  static boolean hasValidHeader(byte[] file, int position) {
     if (file.length - position < HEADER_BYTES) {
       return false;
     }
@@ -54,23 +58,23 @@
     return length >= 0 && header.getInt() == lengthChecksum(length);
   }
 
-  /** Returns where the frame with the header at this position should end. */
-  static long end(byte[] file, int position) {
+  /** Returns the end position of the frame, as given by the header at this position. */
+  static long frameEnd(byte[] file, int position) {
     return (long) position + HEADER_BYTES + ByteBuffer.wrap(file).getInt(position);
   }
 
   /**
-   * Returns whether an unreadable frame is the one that a crash cut short, and not damage.
+   * Returns whether an unreadable frame was truncated by a crash, and is not damaged.
    *
-   * <p>A frame is written only after the one before it was synced. So the frame that a crash cut is
-   * the last one, and nothing sound follows it.
+   * <p>A frame is written only after the previous frame has been synced. A truncated frame is
+   * therefore the last frame, and no valid frame follows it.
    */
   static boolean isTornTail(byte[] file, int position) {
-    if (hasHeader(file, position)) {
-      return end(file, position) >= file.length;
+    if (hasValidHeader(file, position)) {
+      return frameEnd(file, position) >= file.length;
     }
-    for (int at = position + 1; at <= file.length - HEADER_BYTES; at++) {
-      if (read(file, at).isPresent()) {
+    for (int candidate = position + 1; candidate <= file.length - HEADER_BYTES; candidate++) {
+      if (decode(file, candidate).isPresent()) {
         return false;
       }
     }
--- a/alderyard-control/src/main/java/org/alderyard/control/store/NumberedFile.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/store/NumberedFile.java
@@ -1,16 +1,17 @@
 package org.alderyard.control.store;
 
-/** Names of files that sort by their number. */
+/** Builds file names that sort lexicographically by their number. */
 final class NumberedFile {
   private NumberedFile() {}
 
   /**
-   * Returns a name with the number padded to the given count of digits.
+   * Returns a file name with the number zero-padded to the given number of digits.
    *
-   * <p>By hand: the library's formats load the symbols of the locale, which a start waits for.
+   * <p>Does not use {@code String.format}, which loads locale data and would delay the start of the
+   * host.
    */
-  static String name(String prefix, long number, int digits, String suffix) {
-    String text = Long.toString(number);
-    return prefix + "0".repeat(Math.max(0, digits - text.length())) + text + suffix;
+  static String format(String prefix, long number, int digits, String suffix) {
+    String decimal = Long.toString(number);
+    return prefix + "0".repeat(Math.max(0, digits - decimal.length())) + decimal + suffix;
   }
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/store/Recovered.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/store/RecoveredState.java
@@ -6,12 +6,12 @@
 import org.alderyard.protocol.generated.raft.HardState;
 
 /**
- * What a data folder held when it was opened.
+ * State recovered from a data folder when it was opened.
  *
  * @param hardState the last synced term and vote
- * @param snapshot the newest snapshot, or the empty one before the first entry
+ * @param snapshot the newest snapshot, or an empty snapshot at index 0 if there is none
  * @param entries the entries after the snapshot
- * @param tornBytes how many bytes of a batch that a crash had cut short were dropped
+ * @param tornBytes size of the dropped batch that was truncated by a crash, 0 if there was none
  */
-public record Recovered(
+public record RecoveredState(
     HardState hardState, Snapshot snapshot, List<Entry> entries, long tornBytes) {}
--- a/alderyard-control/src/main/java/org/alderyard/control/store/ReplicaStore.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/store/ReplicaStore.java
@@ -6,23 +6,23 @@
 import org.alderyard.protocol.generated.raft.HardState;
 
 /**
- * The durable side of one replica: what {@link #sync} returned from is on the disk.
+ * Durable state of one replica. Effects are on the disk when {@link #sync} returns.
  *
- * <p>After a failed write or sync every further call fails. Guards against the retry of a sync: the
- * system may drop the pages that it could not write, so that the next sync succeeds though they
- * never reached the disk.
+ * <p>After a failed write or sync, every further sync or trim fails. A sync must not be retried:
+ * the operating system may drop the pages that it failed to write, so that the next sync succeeds
+ * although these pages never reached the disk.
  */
 public final class ReplicaStore implements AutoCloseable {
   private static final long MAX_SEGMENT_BYTES = 8L * 1024 * 1024;
 
   private final SnapshotFiles snapshots;
   private final SegmentedLog log;
-  private final Recovered recovered;
+  private final RecoveredState recovered;
   private HardState hardState;
-  // Not null after the first failure.
+  // Null until the first failure.
   private StorageException failure;
 
-  /** Recovers what the folder holds; the founders count until a snapshot names the members. */
+  /** Recovers the state in the folder; without a snapshot, the members are the founders. */
   public ReplicaStore(DataFolder folder, Membership founders) {
     this(folder, founders, SyncedFile::openOnDisk, MAX_SEGMENT_BYTES);
   }
@@ -31,49 +31,49 @@
       DataFolder folder, Membership founders, SyncedFile.Opener opener, long maxSegmentBytes) {
     snapshots = new SnapshotFiles(folder, opener);
     log = new SegmentedLog(folder, opener, maxSegmentBytes);
-    recovered = log.recover(snapshots.newest().orElse(Snapshot.founding(founders)));
+    recovered = log.recover(snapshots.loadNewest().orElse(Snapshot.founding(founders)));
     hardState = recovered.hardState();
   }
 
-  /** Returns what the folder held. */
-  public Recovered recovered() {
+  /** Returns the state that the folder contained when this store was created. */
+  public RecoveredState recovered() {
     return recovered;
   }
 
-  /** Makes the effects of a step durable, in one sync unless there is a snapshot. */
+  /** Makes the effects of a step durable, with a single sync unless there is a snapshot. */
   public void sync(Effects effects) {
     if (!effects.needsSync()) {
       return;
     }
-    guarded(
+    runUnlessFailed(
         () -> {
           effects.snapshot().ifPresent(snapshots::save);
           log.append(StoreBatches.of(effects));
           hardState = effects.hardState().orElse(hardState);
           effects.snapshot().ifPresent(snapshot -> log.trim(snapshot.lastIndex()));
-          log.roll(hardState);
+          log.rollIfFull(hardState);
         });
   }
 
-  /** Stores a snapshot of applied entries; may run beside {@link #sync}. */
+  /** Stores a snapshot of applied entries; may run concurrently with {@link #sync}. */
   public void save(Snapshot snapshot) {
     snapshots.save(snapshot);
   }
 
-  /** Removes the segments that a saved snapshot covers. */
+  /** Deletes the log segments that are covered by a saved snapshot. */
   public void trim(long snapshotIndex) {
-    guarded(() -> log.trim(snapshotIndex));
+    runUnlessFailed(() -> log.trim(snapshotIndex));
   }
 
-  private void guarded(Runnable action) {
+  private void runUnlessFailed(Runnable action) {
     if (failure != null) {
       throw failure;
     }
     try {
       action.run();
-    } catch (StorageException first) {
-      failure = first;
-      throw first;
+    } catch (StorageException firstFailure) {
+      failure = firstFailure;
+      throw firstFailure;
     }
   }
 
--- a/alderyard-control/src/main/java/org/alderyard/control/store/SegmentReader.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/store/SegmentReader.java
@@ -13,28 +13,28 @@
 import org.alderyard.protocol.generated.raft.HardState;
 import org.alderyard.protocol.generated.raft.StoredBatch;
 
-/** Replays the batches of all segments in their order. */
+/** Recovers the log by replaying the batches of all segments in order. */
 final class SegmentReader {
   private final List<Entry> entries = new ArrayList<>();
   private HardState hardState = HardState.getDefaultInstance();
   private long tornBytes;
   private long lastIndex;
 
-  /** Replays one segment and returns the last index it holds; only the last one may be torn. */
+  /** Replays a segment and returns the last index so far; only the last segment may be torn. */
   long replay(Path path, boolean last) {
-    byte[] bytes = WholeFile.bytesOf(path);
+    byte[] bytes = AtomicFile.readBytes(path);
     int position = 0;
     while (position < bytes.length) {
-      Optional<byte[]> payload = FrameFormat.read(bytes, position);
+      Optional<byte[]> payload = FrameFormat.decode(bytes, position);
       if (payload.isEmpty()) {
         if (!last || !FrameFormat.isTornTail(bytes, position)) {
-          throw StorageException.damaged(path, position, "checksum or length is wrong");
+          throw StorageException.damaged(path, position, "invalid checksum or length");
         }
         tornBytes = bytes.length - position;
-        cut(path, position);
+        truncate(path, position);
         break;
       }
-      accept(parse(path, position, payload.get()), path, position);
+      applyBatch(parse(path, position, payload.get()), path, position);
       position += FrameFormat.HEADER_BYTES + payload.get().length;
     }
     return lastIndex;
@@ -43,12 +43,12 @@
   private static StoredBatch parse(Path path, int position, byte[] payload) {
     try {
       return StoredBatch.parseFrom(payload);
-    } catch (InvalidProtocolBufferException unreadable) {
-      throw StorageException.damaged(path, position, "not a batch");
+    } catch (InvalidProtocolBufferException failure) {
+      throw StorageException.damaged(path, position, "the frame is not a valid batch");
     }
   }
 
-  private void accept(StoredBatch batch, Path path, int position) {
+  private void applyBatch(StoredBatch batch, Path path, int position) {
     if (batch.hasHardState()) {
       hardState = batch.getHardState();
     }
@@ -70,8 +70,8 @@
     }
   }
 
-  /** Removes the batch that a crash cut short; it was never answered for. */
-  private static void cut(Path path, int position) {
+  /** Removes a batch that was truncated by a crash; such a batch was never acknowledged. */
+  private static void truncate(Path path, int position) {
     try (FileChannel channel = FileChannel.open(path, StandardOpenOption.WRITE)) {
       channel.truncate(position);
       channel.force(true);
@@ -81,26 +81,32 @@
   }
 
   /**
-   * Returns what is left over the snapshot.
+   * Returns the recovered state with the entries after the snapshot.
    *
-   * <p>A crash may come after a snapshot of the leader was stored and before the log was reset. The
-   * old entries are then of another history: they don't hold the snapshot's last entry. They were
-   * not acknowledged to that leader, and are dropped.
+   * <p>A host may crash after it stored a snapshot from the leader and before it reset the log. The
+   * old entries then belong to another history, in which the last entry of the snapshot is missing.
+   * These entries were not acknowledged to that leader, and are dropped.
    */
-  Recovered over(Snapshot snapshot, Path folder) {
-    long from = snapshot.lastIndex();
+  RecoveredState stateAfter(Snapshot snapshot, Path folder) {
+    long snapshotIndex = snapshot.lastIndex();
     boolean sameHistory =
         entries.stream()
-            .filter(entry -> entry.getIndex() == from)
+            .filter(entry -> entry.getIndex() == snapshotIndex)
             .allMatch(entry -> entry.getTerm() == snapshot.lastTerm());
-    List<Entry> rest =
+    List<Entry> remaining =
         sameHistory
-            ? entries.stream().filter(entry -> entry.getIndex() > from).toList()
+            ? entries.stream().filter(entry -> entry.getIndex() > snapshotIndex).toList()
             : List.of();
-    if (!rest.isEmpty() && rest.get(0).getIndex() != from + 1) {
+    if (!remaining.isEmpty() && remaining.get(0).getIndex() != snapshotIndex + 1) {
       throw StorageException.damaged(
-          folder, 0, "entries " + (from + 1) + " to " + (rest.get(0).getIndex() - 1) + " are gone");
+          folder,
+          0,
+          "entries "
+              + (snapshotIndex + 1)
+              + " to "
+              + (remaining.get(0).getIndex() - 1)
+              + " are missing");
     }
-    return new Recovered(hardState, snapshot, rest, tornBytes);
+    return new RecoveredState(hardState, snapshot, remaining, tornBytes);
   }
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/store/SegmentedLog.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/store/SegmentedLog.java
@@ -9,7 +9,7 @@
 import org.alderyard.protocol.generated.raft.HardState;
 import org.alderyard.protocol.generated.raft.StoredBatch;
 
-/** The log as a row of segment files; each batch is one frame and one sync. */
+/** Log stored in a sequence of segment files. Each batch is written as one frame with one sync. */
 final class SegmentedLog implements AutoCloseable {
   private static final String PREFIX = "log-";
   private static final String SUFFIX = ".seg";
@@ -18,8 +18,8 @@
   private final DataFolder folder;
   private final SyncedFile.Opener opener;
   private final long maxSegmentBytes;
-  private final List<Segment> closed = new ArrayList<>();
-  private long sequence;
+  private final List<Segment> closedSegments = new ArrayList<>();
+  private long segmentNumber;
   private Path path;
   private SyncedFile file;
   private long sizeBytes;
@@ -31,41 +31,41 @@
     this.maxSegmentBytes = maxSegmentBytes;
   }
 
-  /** Replays what is stored and starts a new segment. */
-  Recovered recover(Snapshot snapshot) {
+  /** Replays the stored segments and starts a new segment. */
+  RecoveredState recover(Snapshot snapshot) {
     SegmentReader reader = new SegmentReader();
     List<Path> files =
-        folder.files().stream()
+        folder.listFiles().stream()
             .filter(entry -> entry.getFileName().toString().startsWith(PREFIX))
             .toList();
     for (int i = 0; i < files.size(); i++) {
       lastIndex = reader.replay(files.get(i), i == files.size() - 1);
-      closed.add(new Segment(files.get(i), lastIndex));
-      sequence = sequenceOf(files.get(i));
+      closedSegments.add(new Segment(files.get(i), lastIndex));
+      segmentNumber = segmentNumberOf(files.get(i));
     }
-    Recovered recovered = reader.over(snapshot, folder.path());
+    RecoveredState recovered = reader.stateAfter(snapshot, folder.path());
     startSegment(recovered.hardState());
     if (recovered.entries().isEmpty() && snapshot.lastIndex() > 0) {
-      // What is stored may end before the snapshot, or be of another history; the next entry must
-      // not be read as its continuation.
+      // The stored entries may end before the snapshot or belong to another history. The reset
+      // prevents the next entry from being read as their continuation.
       append(StoreBatches.reset(snapshot));
     }
     return recovered;
   }
 
-  private static long sequenceOf(Path file) {
+  private static long segmentNumberOf(Path file) {
     String name = file.getFileName().toString();
     try {
       return Long.parseLong(name.substring(PREFIX.length(), name.length() - SUFFIX.length()));
-    } catch (NumberFormatException | IndexOutOfBoundsException foreign) {
-      throw StorageException.refused(file, "not a file of this program; move it elsewhere");
+    } catch (NumberFormatException | IndexOutOfBoundsException failure) {
+      throw StorageException.refused(file, "unexpected file in the data folder; move it elsewhere");
     }
   }
 
-  /** Each segment begins with the term and vote, so that older ones may be removed. */
+  /** Starts a segment with the current term and vote, so that older segments can be deleted. */
   private void startSegment(HardState hardState) {
-    sequence++;
-    path = folder.path().resolve(NumberedFile.name(PREFIX, sequence, DIGITS, SUFFIX));
+    segmentNumber++;
+    path = folder.path().resolve(NumberedFile.format(PREFIX, segmentNumber, DIGITS, SUFFIX));
     sizeBytes = 0;
     try {
       file = opener.open(path);
@@ -76,7 +76,7 @@
     }
   }
 
-  /** Adds a batch; it is synced on return. */
+  /** Appends a batch, which is synced when this method returns. */
   void append(StoredBatch batch) {
     try {
       write(batch);
@@ -92,31 +92,32 @@
   }
 
   private void write(StoredBatch batch) throws IOException {
-    ByteBuffer frame = FrameFormat.frame(batch.toByteArray());
+    ByteBuffer frame = FrameFormat.encode(batch.toByteArray());
     int frameBytes = frame.remaining();
     file.append(frame);
     file.sync();
     sizeBytes += frameBytes;
   }
 
-  /** Starts a new segment once the current one is full. */
-  void roll(HardState hardState) {
+  /** Starts a new segment if the current segment is full. */
+  void rollIfFull(HardState hardState) {
     if (sizeBytes < maxSegmentBytes) {
       return;
     }
     close();
-    closed.add(new Segment(path, lastIndex));
+    closedSegments.add(new Segment(path, lastIndex));
     startSegment(hardState);
   }
 
   /**
-   * Removes the segments that end before the snapshot.
+   * Deletes the closed segments whose entries are all covered by the snapshot.
    *
-   * <p>They go oldest first: after a crash in between, what is left is still one row.
+   * <p>The oldest segments are deleted first, so that the remaining segments are contiguous after a
+   * crash.
    */
   void trim(long snapshotIndex) {
-    while (!closed.isEmpty() && closed.get(0).lastIndex <= snapshotIndex) {
-      DataFolder.delete(closed.remove(0).path);
+    while (!closedSegments.isEmpty() && closedSegments.get(0).lastIndex <= snapshotIndex) {
+      DataFolder.delete(closedSegments.remove(0).path);
     }
   }
 
--- a/alderyard-control/src/main/java/org/alderyard/control/store/SnapshotFiles.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/store/SnapshotFiles.java
@@ -9,22 +9,22 @@
 import org.alderyard.control.raft.Snapshot;
 import org.alderyard.protocol.generated.raft.SnapshotHeader;
 
-/** The snapshots of a data folder; only the newest is kept. */
+/** Stores and loads the snapshots of a data folder. Only the newest snapshot is kept. */
 final class SnapshotFiles {
   private static final String PREFIX = "snapshot-";
   private static final String SUFFIX = ".snap";
   private static final int DIGITS = 20;
-  private static final int FRAMES = 2;
+  private static final int FRAME_COUNT = 2;
 
   private final DataFolder folder;
-  private final WholeFile wholeFile;
+  private final AtomicFile atomicFile;
 
   SnapshotFiles(DataFolder folder, SyncedFile.Opener opener) {
     this.folder = folder;
-    wholeFile = new WholeFile(opener);
+    atomicFile = new AtomicFile(opener);
   }
 
-  /** Stores a snapshot and removes the older ones; it is synced on return. */
+  /** Stores a snapshot, which is synced when this method returns, and deletes older snapshots. */
   void save(Snapshot snapshot) {
     SnapshotHeader header =
         SnapshotHeader.newBuilder()
@@ -34,18 +34,21 @@
             .setTotalBytes(snapshot.data().size())
             .build();
     Path path =
-        folder.path().resolve(NumberedFile.name(PREFIX, snapshot.lastIndex(), DIGITS, SUFFIX));
-    wholeFile.write(path, List.of(header.toByteArray(), snapshot.data().toByteArray()));
-    for (Path file : files()) {
+        folder.path().resolve(NumberedFile.format(PREFIX, snapshot.lastIndex(), DIGITS, SUFFIX));
+    atomicFile.write(path, List.of(header.toByteArray(), snapshot.data().toByteArray()));
+    for (Path file : snapshotFiles()) {
       if (file.getFileName().compareTo(path.getFileName()) < 0) {
         DataFolder.delete(file);
       }
     }
   }
 
-  /** Returns the newest snapshot; if it is damaged, an older one would not fit the trimmed log. */
-  Optional<Snapshot> newest() {
-    List<Path> files = files();
+  /**
+   * Loads the newest snapshot, if any. Fails if it is damaged: an older snapshot would not match
+   * the trimmed log.
+   */
+  Optional<Snapshot> loadNewest() {
+    List<Path> files = snapshotFiles();
     if (files.isEmpty()) {
       return Optional.empty();
     }
@@ -53,7 +56,7 @@
   }
 
   private static Snapshot read(Path path) {
-    List<byte[]> frames = WholeFile.read(path, FRAMES);
+    List<byte[]> frames = AtomicFile.read(path, FRAME_COUNT);
     try {
       SnapshotHeader header = SnapshotHeader.parseFrom(frames.get(0));
       return new Snapshot(
@@ -61,13 +64,13 @@
           header.getLastTerm(),
           new Membership(header.getMembers()),
           UnsafeByteOperations.unsafeWrap(frames.get(1)));
-    } catch (InvalidProtocolBufferException unreadable) {
-      throw StorageException.damaged(path, 0, "not a snapshot");
+    } catch (InvalidProtocolBufferException failure) {
+      throw StorageException.damaged(path, 0, "the content is not a valid snapshot");
     }
   }
 
-  private List<Path> files() {
-    return folder.files().stream()
+  private List<Path> snapshotFiles() {
+    return folder.listFiles().stream()
         .filter(file -> file.getFileName().toString().startsWith(PREFIX))
         .filter(file -> file.getFileName().toString().endsWith(SUFFIX))
         .toList();
--- a/alderyard-control/src/main/java/org/alderyard/control/store/StorageException.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/store/StorageException.java
@@ -5,7 +5,10 @@
 import org.alderyard.common.error.ErrorCode;
 import org.alderyard.common.error.Outcome;
 
-/** A file of the data folder can't be used; names the file, the place and what can be done. */
+/**
+ * Thrown when a file of the data folder cannot be used. The message states the file, the offset
+ * where it is known, and the recommended action.
+ */
 public final class StorageException extends AlderyardException {
   private static final long serialVersionUID = 1L;
 
@@ -13,53 +16,59 @@
   private final long offsetBytes;
 
   private StorageException(
-      ErrorCode code, Outcome outcome, Path file, long offsetBytes, String text, Throwable cause) {
-    super(code, outcome, text, cause);
+      ErrorCode code,
+      Outcome outcome,
+      Path file,
+      long offsetBytes,
+      String message,
+      Throwable cause) {
+    super(code, outcome, message, cause);
     this.file = file;
     this.offsetBytes = offsetBytes;
   }
 
-  /** Returns the error for bytes that were synced and now read differently. */
+  /** Creates the exception for synced data that is damaged or missing. */
   public static StorageException damaged(Path file, long offsetBytes, String problem) {
-    String text =
+    String message =
         file
             + " is damaged at byte "
             + offsetBytes
             + ": "
             + problem
-            + ". Don't repair it by hand: move the data folder away and start this host with an"
-            + " empty one; it returns as a new replica and copies the log from the others.";
+            + ". Do not repair the file manually: move the data folder away and start this host"
+            + " with an empty one. The host then rejoins as a new replica and copies the log from"
+            + " other hosts.";
     return new StorageException(
-        ErrorCode.STORAGE_DAMAGED, Outcome.NOT_RUN, file, offsetBytes, text, null);
+        ErrorCode.STORAGE_DAMAGED, Outcome.NOT_RUN, file, offsetBytes, message, null);
   }
 
-  /** Returns the error for a write or sync that failed; the host must stop. */
+  /** Creates the exception for a failed file operation, after which the host must stop. */
   public static StorageException failed(Path file, long offsetBytes, Throwable cause) {
-    String text =
-        "can't write "
+    String message =
+        "cannot access "
             + file
             + " at byte "
             + offsetBytes
             + ": "
             + cause.getMessage()
-            + ". The host stops, since nobody knows what is on the disk. Check its space and its"
-            + " health, then start the host again.";
+            + ". The host stops because the state of the data on the disk is unknown. Check the"
+            + " free space and the health of the disk, then restart the host.";
     return new StorageException(
-        ErrorCode.STORAGE_FAILED, Outcome.OUTCOME_UNKNOWN, file, offsetBytes, text, cause);
+        ErrorCode.STORAGE_FAILED, Outcome.OUTCOME_UNKNOWN, file, offsetBytes, message, cause);
   }
 
-  /** Returns the error for a folder that this process must not use. */
+  /** Creates the exception for a file or folder that this process must not use. */
   public static StorageException refused(Path file, String problem) {
     return new StorageException(
         ErrorCode.SETTINGS_INVALID, Outcome.NOT_RUN, file, 0, file + ": " + problem, null);
   }
 
-  /** Returns the file at fault. */
+  /** Returns the file or folder that caused the exception. */
   public Path file() {
     return file;
   }
 
-  /** Returns where in the file the fault is. */
+  /** Returns the byte offset of the fault in the file, or 0 if it is unknown. */
   public long offsetBytes() {
     return offsetBytes;
   }
--- a/alderyard-control/src/main/java/org/alderyard/control/store/SyncedFile.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/store/SyncedFile.java
@@ -6,26 +6,26 @@
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
 
-/** A file that is only appended to and then synced. */
+/** Append-only file with explicit syncs to the disk. */
 interface SyncedFile extends AutoCloseable {
 
-  /** Adds the bytes at the end; they last only after {@link #sync()}. */
+  /** Appends the bytes at the end of the file; they are durable only after {@link #sync()}. */
   void append(ByteBuffer bytes) throws IOException;
 
-  /** Returns once everything appended so far is on the disk. */
+  /** Writes all appended bytes to the disk before it returns. */
   void sync() throws IOException;
 
   @Override
   void close() throws IOException;
 
-  /** Opens files; a test replaces it to let writes and syncs fail. */
+  /** Opens files; replaced in tests to make writes and syncs fail. */
   @FunctionalInterface
   interface Opener {
-    /** Opens a file at its end, creating it if need be. */
+    /** Opens a file for appending and creates it if it does not exist. */
     SyncedFile open(Path path) throws IOException;
   }
 
-  /** Opens a file of the system. */
+  /** Opens a file in the file system for appending and creates it if it does not exist. */
   static SyncedFile openOnDisk(Path path) throws IOException {
     FileChannel channel =
         FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
@@ -50,7 +50,7 @@
     };
   }
 
-  /** Syncs the names in a folder, without which a new or renamed file may be gone. */
+  /** Syncs the entries of a folder; otherwise a new or renamed file may be lost in a crash. */
   static void syncFolder(Path folder) throws IOException {
     try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
       channel.force(true);
--- a/alderyard-control/src/main/java/org/alderyard/control/store/package-info.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/store/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The files of a control host: one locked data folder with the log and the last snapshot.
+ * Durable storage of a control host: a locked data folder with the log and the newest snapshot.
  *
- * <p>Layout: {@code lock}, {@code identity}, {@code log-N.seg} (checksummed batches, one a sync)
- * and {@code snapshot-INDEX.snap}. What a call has returned from is synced. A batch that was cut
- * short by a crash is dropped at the next start; damage anywhere else stops the host.
+ * <p>The folder contains {@code lock}, {@code identity}, {@code log-N.seg} (checksummed batches,
+ * with one sync per batch) and {@code snapshot-INDEX.snap}. Data is synced when a write returns. A
+ * batch truncated by a crash is dropped at the next start. Any other damage stops the host.
  */
 package org.alderyard.control.store;
--- a/alderyard-control/src/test/java/org/alderyard/control/store/ReplicaStoreTest.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/store/ReplicaStoreTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a control host finds on its disk after crashes and damage. */
+/** Tests recovery from disk after crashes, failed writes and damage. */
 class ReplicaStoreTest {
   private static final HostId HOST = new HostId("control-1");
   private static final long SEGMENT_BYTES = 1 << 20;
@@ -68,7 +68,7 @@
     return new Snapshot(index, term, Membership.EMPTY, ByteString.copyFromUtf8("state " + index));
   }
 
-  private Recovered write(Effects... steps) {
+  private RecoveredState write(Effects... steps) {
     try (DataFolder folder = open();
         ReplicaStore store = new ReplicaStore(folder, Membership.EMPTY)) {
       for (Effects step : steps) {
@@ -78,50 +78,51 @@
     }
   }
 
-  private Recovered recover() {
+  private RecoveredState recover() {
     return write();
   }
 
-  private static List<Long> indexes(Recovered recovered) {
+  private static List<Long> indexes(RecoveredState recovered) {
     return recovered.entries().stream().map(Entry::getIndex).toList();
   }
 
-  private Path newestSegment() throws IOException {
+  private Path oldestSegment() throws IOException {
     try (Stream<Path> files = Files.list(root)) {
       return files.filter(file -> file.toString().endsWith(".seg")).sorted().toList().get(0);
     }
   }
 
   @Test
-  void keepsVoteEntriesAndReplacedSuffix() {
+  void recoversVoteAndReplacedEntries() {
     write(vote(3, 7), entries(entry(3, 1), entry(3, 2), entry(3, 3)), entries(entry(4, 2)));
-    Recovered recovered = recover();
+    RecoveredState recovered = recover();
     assertThat(recovered.hardState().getVotedFor()).isEqualTo(7);
     assertThat(recovered.entries()).containsExactly(entry(3, 1), entry(4, 2)).inOrder();
     assertThat(recovered.tornBytes()).isEqualTo(0);
   }
 
   /**
-   * The power fails while a batch is written, at any byte of it. The host was not told that the
-   * batch is synced, so nobody relies on it: the next start drops it and keeps what came before.
+   * The power fails at any byte of a batch write. The batch was not acknowledged as synced, so the
+   * next start must drop it and keep all earlier batches.
    */
   @Test
-  void tornWriteAtEveryByteOfTheLastRecordIsCut() throws IOException {
+  void dropsBatchTornAtAnyByte() throws IOException {
     write(entries(entry(1, 1)));
-    Path segment = newestSegment();
+    Path segment = oldestSegment();
     final byte[] before = Files.readAllBytes(segment);
     write(entries(entry(1, 2)));
     try (Stream<Path> files = Files.list(root)) {
       byte[] last = Files.readAllBytes(files.sorted().toList().get(3));
-      byte[] frame = FrameFormat.read(last, 0).orElseThrow();
+      byte[] frame = FrameFormat.decode(last, 0).orElseThrow();
       byte[] added = Arrays.copyOfRange(last, FrameFormat.HEADER_BYTES + frame.length, last.length);
       for (int length = 0; length <= added.length; length++) {
-        checkTornAt(before, added, length);
+        assertRecoversFromTornBatch(before, added, length);
       }
     }
   }
 
-  private void checkTornAt(byte[] before, byte[] added, int length) throws IOException {
+  private void assertRecoversFromTornBatch(byte[] before, byte[] added, int length)
+      throws IOException {
     Path copy = Files.createTempDirectory(root.getParent(), "torn");
     Files.copy(root.resolve("identity"), copy.resolve("identity"));
     byte[] bytes = Arrays.copyOf(before, before.length + length);
@@ -129,12 +130,12 @@
     Files.write(copy.resolve("log-000000000001.seg"), bytes);
     try (DataFolder folder = DataFolder.open(copy, "c1", HOST, new SplittableRandom(1));
         ReplicaStore store = new ReplicaStore(folder, Membership.EMPTY)) {
-      boolean whole = length == added.length;
+      boolean complete = length == added.length;
       assertWithMessage("torn at " + length)
           .that(indexes(store.recovered()))
-          .isEqualTo(whole ? List.of(1L, 2L) : List.of(1L));
-      assertThat(store.recovered().tornBytes()).isEqualTo(whole ? 0 : length);
-      store.sync(entries(entry(1, whole ? 3 : 2)));
+          .isEqualTo(complete ? List.of(1L, 2L) : List.of(1L));
+      assertThat(store.recovered().tornBytes()).isEqualTo(complete ? 0 : length);
+      store.sync(entries(entry(1, complete ? 3 : 2)));
     }
     try (DataFolder folder = DataFolder.open(copy, "c1", HOST, new SplittableRandom(1));
         ReplicaStore store = new ReplicaStore(folder, Membership.EMPTY)) {
@@ -144,60 +145,63 @@
   }
 
   /**
-   * A disk returns other bytes than were synced, in the middle of the log. To start from what can
-   * be read would take back promises, so the host stops and says what to do.
+   * A disk returns corrupted bytes in the middle of the log. A host that started from the readable
+   * part would revoke votes and acknowledgements, so it must stop with instructions to the
+   * operator.
    */
   @Test
-  void damageInTheMiddleIsTypedAndNamesThePlace() throws IOException {
+  void damageInMiddleOfLogReportsFileAndOffset() throws IOException {
     write(entries(entry(1, 1)), entries(entry(1, 2)), entries(entry(1, 3)));
-    Path segment = newestSegment();
-    byte[] sound = Files.readAllBytes(segment);
-    int second = FrameFormat.HEADER_BYTES + FrameFormat.read(sound, 0).orElseThrow().length;
-    int third =
-        second + FrameFormat.HEADER_BYTES + FrameFormat.read(sound, second).orElseThrow().length;
-    for (int at = second; at < third; at++) {
-      byte[] damaged = sound.clone();
-      damaged[at] ^= 0x20;
+    Path segment = oldestSegment();
+    byte[] intact = Files.readAllBytes(segment);
+    int secondFrame = FrameFormat.HEADER_BYTES + FrameFormat.decode(intact, 0).orElseThrow().length;
+    int thirdFrame =
+        secondFrame
+            + FrameFormat.HEADER_BYTES
+            + FrameFormat.decode(intact, secondFrame).orElseThrow().length;
+    for (int offset = secondFrame; offset < thirdFrame; offset++) {
+      byte[] damaged = intact.clone();
+      damaged[offset] ^= 0x20;
       Files.write(segment, damaged);
       StorageException error = assertThrows(StorageException.class, this::recover);
       assertThat(error.code()).isEqualTo(ErrorCode.STORAGE_DAMAGED);
       assertThat(error.file()).isEqualTo(segment);
-      assertThat(error.offsetBytes()).isEqualTo(second);
+      assertThat(error.offsetBytes()).isEqualTo(secondFrame);
       assertThat(error).hasMessageThat().contains("start this host with an empty one");
     }
-    Files.write(segment, sound);
+    Files.write(segment, intact);
     assertThat(indexes(recover())).containsExactly(1L, 2L, 3L);
   }
 
   @Test
-  void damageOfSnapshotOrIdentityIsTyped() throws IOException {
+  void damagedSnapshotOrIdentityIsReported() throws IOException {
     write(effects(Optional.empty(), Optional.of(snapshot(5, 2))));
     for (String name : List.of("identity", "snapshot-00000000000000000005.snap")) {
       Path file = root.resolve(name);
-      byte[] sound = Files.readAllBytes(file);
-      for (int at = 0; at < sound.length; at++) {
-        byte[] damaged = sound.clone();
-        damaged[at] ^= 0x01;
+      byte[] intact = Files.readAllBytes(file);
+      for (int offset = 0; offset < intact.length; offset++) {
+        byte[] damaged = intact.clone();
+        damaged[offset] ^= 0x01;
         Files.write(file, damaged);
         StorageException error = assertThrows(StorageException.class, this::recover);
         assertThat(error.code()).isEqualTo(ErrorCode.STORAGE_DAMAGED);
       }
-      Files.write(file, sound);
+      Files.write(file, intact);
     }
     assertThat(recover().snapshot()).isEqualTo(snapshot(5, 2));
   }
 
   @Test
-  void lostIdentityIsDamageAndNotNewDisk() throws IOException {
+  void missingIdentityIsReportedAsDamage() throws IOException {
     write(entries(entry(1, 1)));
     Files.delete(root.resolve("identity"));
     assertThat(assertThrows(StorageException.class, this::recover).code())
         .isEqualTo(ErrorCode.STORAGE_DAMAGED);
   }
 
-  /** Two processes with one data folder would both vote for it; the second one is refused. */
+  /** Two processes that share a data folder could both vote, so the second must be refused. */
   @Test
-  void folderIsLockedOnce() {
+  void folderIsLockedExclusively() {
     try (DataFolder first = open()) {
       StorageException error = assertThrows(StorageException.class, this::open);
       assertThat(error).hasMessageThat().contains("another process uses");
@@ -223,15 +227,17 @@
   }
 
   /**
-   * A crash comes after a snapshot of the leader was stored and before the log was reset. The
-   * entries on the disk are of another history and must not follow the snapshot, now or later.
+   * The host crashes after it stored a snapshot from the leader and before it reset the log. The
+   * entries on the disk belong to another history and must never follow the snapshot.
    */
   @Test
-  void crashBetweenSnapshotAndResetDropsTheOldHistory() {
-    for (long lastOld : new long[] {3, 5, 8}) {
+  void crashBetweenSnapshotAndResetDropsOldEntries() {
+    for (long lastOldIndex : new long[] {3, 5, 8}) {
       write(
           entries(
-              LongStream.rangeClosed(1, lastOld).mapToObj(i -> entry(1, i)).toArray(Entry[]::new)));
+              LongStream.rangeClosed(1, lastOldIndex)
+                  .mapToObj(i -> entry(1, i))
+                  .toArray(Entry[]::new)));
       try (DataFolder folder = open()) {
         new SnapshotFiles(folder, SyncedFile::openOnDisk).save(snapshot(5, 2));
       }
@@ -251,7 +257,7 @@
   }
 
   @Test
-  void segmentsBeforeTheSnapshotAreRemoved() throws IOException {
+  void segmentsCoveredBySnapshotAreDeleted() throws IOException {
     try (DataFolder folder = open();
         ReplicaStore store =
             new ReplicaStore(folder, Membership.EMPTY, SyncedFile::openOnDisk, 100)) {
@@ -259,24 +265,24 @@
       for (int i = 1; i <= 50; i++) {
         store.sync(entries(entry(2, i)));
       }
-      final int filesBefore = folder.files().size();
+      final int filesBefore = folder.listFiles().size();
       store.save(snapshot(40, 2));
       store.trim(40);
-      assertThat(folder.files().size()).isLessThan(filesBefore / 2);
+      assertThat(folder.listFiles().size()).isLessThan(filesBefore / 2);
     }
-    Recovered recovered = recover();
+    RecoveredState recovered = recover();
     assertThat(indexes(recovered).get(0)).isEqualTo(41);
     assertThat(recovered.entries()).hasSize(10);
     assertThat(recovered.hardState().getVotedFor()).isEqualTo(9);
   }
 
   /**
-   * The disk is full, or a sync fails. If the host tried again and the second sync worked, the
-   * pages that the first one lost would count as stored. So nothing is accepted after it; a restart
-   * finds everything that was acknowledged.
+   * The disk is full, or a sync fails. If a retried sync succeeded, pages lost by the first sync
+   * would count as stored. The store must therefore refuse all further writes, and a restart must
+   * recover all acknowledged entries.
    */
   @Test
-  void failedWriteOrSyncStopsTheStore() {
+  void storeRefusesWritesAfterFailedWriteOrSync() {
     write(entries(entry(1, 1)));
     for (boolean inSync : new boolean[] {true, false}) {
       FailingDisk disk = new FailingDisk(inSync);
@@ -296,7 +302,7 @@
     }
   }
 
-  /** A disk that is full from some moment on; half of a write may still reach it. */
+  /** Disk that becomes full; half of a failed write may still be stored. */
   private static final class FailingDisk {
     private final boolean inSync;
     private boolean full;
