--- a/alderyard-control/src/main/java/org/alderyard/control/failover/Attempt.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/failover/Attempt.java
@@ -8,103 +8,137 @@
 import org.alderyard.common.id.ServerId;
 
 /**
- * What one host has learned from the servers of a group in one term; lost with the host, and then
- * learned again.
+ * Responses that one host has received from the servers of a group in one term.
+ *
+ * <p>The responses are kept in memory only; the next host collects them again after this host
+ * fails.
  *
  * @param term the term
- * @param startedAtMillis when this host took the term up, on its monotonic clock
- * @param held the positions of servers that are not fenced yet, asked before a planned hand-over
- * @param fenced the positions of the servers that are fenced at the term
- * @param promoted whether the chosen server said that it took the term
- * @param following the servers that said that they follow the primary of the term
- * @param highestTermSeen the highest term that a server answered with
+ * @param startedAtMillis when this host started the term's failover, on its monotonic clock
+ * @param unfencedPositions the positions of servers before they are fenced, requested before a
+ *     planned hand-over
+ * @param fencedPositions the positions of the servers that are fenced at the term
+ * @param promoted whether the chosen server has confirmed that it took the term
+ * @param followers the servers that have confirmed that they follow the primary of the term
+ * @param highestTermSeen the highest term that any server has returned
  */
 public record Attempt(
     long term,
     long startedAtMillis,
-    Map<ServerId, Position> held,
-    Map<ServerId, Position> fenced,
+    Map<ServerId, Position> unfencedPositions,
+    Map<ServerId, Position> fencedPositions,
     boolean promoted,
-    Set<ServerId> following,
+    Set<ServerId> followers,
     long highestTermSeen) {
 
-  /** Copies. */
+  /** Copies the collections. */
   public Attempt {
-    held = Map.copyOf(held);
-    fenced = Map.copyOf(fenced);
-    following = Set.copyOf(following);
+    unfencedPositions = Map.copyOf(unfencedPositions);
+    fencedPositions = Map.copyOf(fencedPositions);
+    followers = Set.copyOf(followers);
   }
 
-  /** Returns the attempt of a host that knows nothing yet. */
+  /** Returns an attempt without any server responses. */
   public static Attempt begin(long term, long nowMillis) {
     return new Attempt(term, nowMillis, Map.of(), Map.of(), false, Set.of(), 0);
   }
 
-  /** Returns the attempt with its clock set back; what servers promised stays true. */
-  public Attempt restarted(long nowMillis) {
-    return new Attempt(term, nowMillis, held, fenced, promoted, following, highestTermSeen);
+  /**
+   * Returns this attempt with a new start time; the server responses are kept, as they remain
+   * valid.
+   */
+  public Attempt withStartTime(long nowMillis) {
+    return new Attempt(
+        term, nowMillis, unfencedPositions, fencedPositions, promoted, followers, highestTermSeen);
   }
 
-  /** Returns the attempt with the position of a server that is not fenced. */
-  public Attempt withHeld(ServerId server, Position position) {
+  /** Returns this attempt with the position of a server that is not fenced. */
+  public Attempt withUnfencedPosition(ServerId server, Position position) {
     return new Attempt(
         term,
         startedAtMillis,
-        put(held, server, position),
-        fenced,
+        put(unfencedPositions, server, position),
+        fencedPositions,
         promoted,
-        following,
+        followers,
         highestTermSeen);
   }
 
-  /** Returns the attempt with a server's answer to a fence; one fenced higher does not count. */
-  public Attempt withFenced(ServerId server, long serverTerm, Position position) {
-    Map<ServerId, Position> all = serverTerm == term ? put(fenced, server, position) : fenced;
+  /**
+   * Returns this attempt with a server's response to a fence request; the position of a server that
+   * is fenced at a higher term is not added.
+   */
+  public Attempt withFencedPosition(ServerId server, long serverTerm, Position position) {
+    Map<ServerId, Position> updatedPositions =
+        serverTerm == term ? put(fencedPositions, server, position) : fencedPositions;
     return new Attempt(
         term,
         startedAtMillis,
-        held,
-        all,
+        unfencedPositions,
+        updatedPositions,
         promoted,
-        following,
+        followers,
         Math.max(highestTermSeen, serverTerm));
   }
 
-  /** Returns the attempt after the chosen server took the term. */
+  /** Returns this attempt with the promotion confirmed by the chosen server. */
   public Attempt withPromoted() {
-    return new Attempt(term, startedAtMillis, held, fenced, true, following, highestTermSeen);
+    return new Attempt(
+        term,
+        startedAtMillis,
+        unfencedPositions,
+        fencedPositions,
+        true,
+        followers,
+        highestTermSeen);
   }
 
-  /** Returns the attempt after a server said that it follows. */
-  public Attempt withFollowing(ServerId server) {
-    Set<ServerId> all = new HashSet<>(following);
-    all.add(server);
-    return new Attempt(term, startedAtMillis, held, fenced, promoted, all, highestTermSeen);
+  /** Returns this attempt with a server that has confirmed that it follows the primary. */
+  public Attempt withFollower(ServerId server) {
+    Set<ServerId> updated = new HashSet<>(followers);
+    updated.add(server);
+    return new Attempt(
+        term,
+        startedAtMillis,
+        unfencedPositions,
+        fencedPositions,
+        promoted,
+        updated,
+        highestTermSeen);
   }
 
-  /** Returns the attempt after a server started again and has to be told whom to follow. */
-  public Attempt withoutFollowing(ServerId server) {
-    Set<ServerId> others = new HashSet<>(following);
-    others.remove(server);
-    return new Attempt(term, startedAtMillis, held, fenced, promoted, others, highestTermSeen);
+  /** Returns this attempt without a follower that has restarted and needs a new follow request. */
+  public Attempt withoutFollower(ServerId server) {
+    Set<ServerId> remaining = new HashSet<>(followers);
+    remaining.remove(server);
+    return new Attempt(
+        term,
+        startedAtMillis,
+        unfencedPositions,
+        fencedPositions,
+        promoted,
+        remaining,
+        highestTermSeen);
   }
 
-  /** Returns the attempt after a server refused because it has seen a higher term. */
+  /**
+   * Returns this attempt with the term of a server that refused a request because of a higher term.
+   */
   public Attempt withHigherTerm(long serverTerm) {
     return new Attempt(
         term,
         startedAtMillis,
-        held,
-        fenced,
+        unfencedPositions,
+        fencedPositions,
         promoted,
-        following,
+        followers,
         Math.max(highestTermSeen, serverTerm));
   }
 
   private static Map<ServerId, Position> put(
       Map<ServerId, Position> positions, ServerId server, Position position) {
-    Map<ServerId, Position> all = new HashMap<>(positions);
-    all.put(server, position);
-    return all;
+    Map<ServerId, Position> updated = new HashMap<>(positions);
+    updated.put(server, position);
+    return updated;
   }
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/failover/DirectorDecision.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/failover/DirectorDecision.java
@@ -5,82 +5,83 @@
 import org.alderyard.common.error.ErrorCode;
 import org.alderyard.common.id.ServerId;
 
-/** What the director of a group does next. */
+/** The next action of a failover, as decided by the {@link Director}. */
 public sealed interface DirectorDecision {
 
-  /** Returns why, for the log line. */
+  /** Returns the reason of the decision for the log line. */
   String reason();
 
   /**
-   * Ask servers for their position before a planned hand-over.
+   * Requests the positions of servers before a planned hand-over.
    *
-   * @param servers whom to ask
-   * @param reason why
+   * @param servers the servers to ask
+   * @param reason the reason for the log line
    */
   record AskPositions(List<ServerId> servers, String reason) implements DirectorDecision {}
 
   /**
-   * Fence servers at the term.
+   * Fences servers at the term of the record.
    *
-   * @param servers whom to fence
-   * @param reason why
+   * @param servers the servers to fence
+   * @param reason the reason for the log line
    */
   record Fence(List<ServerId> servers, String reason) implements DirectorDecision {}
 
   /**
-   * Propose a step to the control log.
+   * Proposes a step to the control log.
    *
    * @param step the step
-   * @param reason why
+   * @param reason the reason for the log line
    */
   record Propose(FailoverStep step, String reason) implements DirectorDecision {}
 
   /**
-   * Tell the chosen server to take the term.
+   * Requests that the chosen server takes the term.
    *
-   * @param server the server
-   * @param reason why
+   * @param server the chosen server
+   * @param reason the reason for the log line
    */
   record Promote(ServerId server, String reason) implements DirectorDecision {}
 
   /**
-   * Tell servers to follow the primary.
+   * Requests that servers follow the primary.
    *
-   * @param servers whom to tell
-   * @param primary whom to follow
-   * @param reason why
+   * @param servers the servers that do not follow it yet
+   * @param primary the primary of the term
+   * @param reason the reason for the log line
    */
   record Follow(List<ServerId> servers, ServerId primary, String reason)
       implements DirectorDecision {}
 
   /**
-   * Open a new term, since this one can't end.
+   * Opens a new term, because the failover cannot complete in the present one.
    *
    * @param term the new term
-   * @param reason why
+   * @param reason the reason for the log line
    */
   record Regrant(long term, String reason) implements DirectorDecision {}
 
   /**
-   * Too few servers answer: the group refuses writes, and the director asks again later.
+   * Waits, because fewer than a majority of the servers are fenced: the group refuses writes, and
+   * the director fences again later.
    *
-   * @param missing who gave no answer
-   * @param retryAfterMillis when to ask again
-   * @param reason why
+   * @param unfenced the servers that are not fenced
+   * @param retryAfterMillis the delay before the next fence requests
+   * @param reason the number of fenced servers and of those needed, as text
    */
-  record RefuseNoQuorum(List<ServerId> missing, long retryAfterMillis, String reason)
+  record RefuseNoQuorum(List<ServerId> unfenced, long retryAfterMillis, String reason)
       implements DirectorDecision {
 
-    /** Returns the error for an operator who asked for the hand-over. */
+    /** Returns the error for an operator who requested the hand-over. */
     public AlderyardException toException() {
       return AlderyardException.notRun(ErrorCode.NO_QUORUM, reason, retryAfterMillis);
     }
   }
 
   /**
-   * Nothing is left to do.
+   * Ends the run, as no further action is needed.
    *
-   * @param reason why
+   * @param reason the reason for the log line
    */
   record Done(String reason) implements DirectorDecision {}
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/failover/DirectorOptions.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/failover/DirectorOptions.java
@@ -1,27 +1,30 @@
 package org.alderyard.control.failover;
 
 /**
- * The times and bounds of the director.
+ * Timeouts and limits of failovers.
  *
- * @param drainMillis how long a planned hand-over waits for a replica to hold all of the primary
- * @param resendMillis after how long a request without an answer is sent again
- * @param noQuorumAfterMillis after how long too few answers are called a lack of quorum
- * @param promoteMillis how long the chosen server has to take the term
- * @param maxConcurrent how many groups are in a failover at once
- * @param flapWindowMillis how long a grant counts against its group
- * @param flapBaseMillis the wait after the second grant within the window, doubled with each more
- * @param flapMaxMillis the longest wait between two grants
+ * @param catchUpTimeoutMillis how long a planned hand-over waits for a replica to reach the
+ *     primary's position
+ * @param resendMillis the delay before a request without a response is sent again
+ * @param quorumTimeoutMillis how long servers are fenced without reaching a majority before the
+ *     lack of a quorum is reported
+ * @param promotionTimeoutMillis how long the chosen server may take to confirm its promotion
+ * @param maxConcurrentFailovers the maximum number of groups in a failover at the same time
+ * @param flapWindowMillis how long a grant counts towards the backoff of its group
+ * @param flapBaseMillis the backoff after the second grant within the window; each further grant
+ *     doubles it
+ * @param flapMaxMillis the maximum backoff between two grants
  */
 public record DirectorOptions(
-    long drainMillis,
+    long catchUpTimeoutMillis,
     long resendMillis,
-    long noQuorumAfterMillis,
-    long promoteMillis,
-    int maxConcurrent,
+    long quorumTimeoutMillis,
+    long promotionTimeoutMillis,
+    int maxConcurrentFailovers,
     long flapWindowMillis,
     long flapBaseMillis,
     long flapMaxMillis) {
-  /** What is used when the settings say nothing. */
+  /** The options used unless settings override them. */
   public static final DirectorOptions DEFAULT =
       new DirectorOptions(150, 100, 1_000, 500, 128, 60_000, 500, 16_000);
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/failover/RunContext.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/failover/FailoverContext.java
@@ -9,13 +9,13 @@
 import org.alderyard.common.view.View;
 import org.alderyard.control.failover.FailoverObserver.Milestone;
 
-/** What the runs of all groups share. */
-record RunContext(
+/** The services and state that the runs of all groups share. */
+record FailoverContext(
     Director director,
     FlapBackoff backoff,
     FailoverTable table,
     Supplier<View> views,
-    StepLog steps,
+    StepProposer proposer,
     ServerAdmin admin,
     WorkerPool workers,
     MonotonicClock clock,
@@ -29,11 +29,11 @@
     return table.record(group, view());
   }
 
-  void later(Runnable task) {
+  void execute(Runnable task) {
     workers.execute(task);
   }
 
-  void reached(GroupId group, long term, Milestone milestone) {
-    observer.reached(group, term, milestone, clock.nowNanos());
+  void notifyMilestone(GroupId group, long term, Milestone milestone) {
+    observer.onMilestone(group, term, milestone, clock.nowNanos());
   }
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/failover/FailoverKind.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/failover/FailoverKind.java
@@ -1,11 +1,11 @@
 package org.alderyard.control.failover;
 
-/** Why a primary is replaced. */
+/** The reason for the replacement of a primary. */
 public enum FailoverKind {
   /** A quorum of watchers suspects the primary. */
   FAILURE,
-  /** An operator drains the primary, which still works. */
+  /** An operator drains the primary, which still serves. */
   PLANNED,
-  /** No failover has run yet: the group came with its primary. */
+  /** No failover has run yet: the group was registered with its primary. */
   INITIAL
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/failover/FailoverObserver.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/failover/FailoverObserver.java
@@ -2,28 +2,32 @@
 
 import org.alderyard.common.id.GroupId;
 
-/** Hears when a failover reaches each of its milestones, for metrics and measurements. */
+/** Receives the milestones of failovers, for metrics and measurements. */
 @FunctionalInterface
 public interface FailoverObserver {
   /** An observer that does nothing. */
   FailoverObserver NONE = (group, term, milestone, atNanos) -> {};
 
-  /** The milestones, in order. */
+  /** Milestones of a failover, in order. */
   enum Milestone {
-    /** A majority of watchers suspects the primary, or a hand-over was asked for. */
+    /** A majority of watchers suspects the primary, or a hand-over was requested. */
     AGREED,
-    /** The control log holds the grant of the term. */
+    /** The grant of the term is committed to the control log. */
     GRANTED,
-    /** A majority of the servers is fenced. */
+    /** A majority of the servers is fenced at the term. */
     FENCED,
-    /** The control log holds the choice. */
+    /** The choice of the server is committed to the control log. */
     CHOSEN,
-    /** The chosen server took the term. */
+    /** The chosen server confirmed that it took the term. */
     PROMOTED,
-    /** The control log holds the new primary. */
+    /** The new primary is committed to the control log. */
     PUBLISHED
   }
 
-  /** Notes a milestone. */
-  void reached(GroupId group, long term, Milestone milestone, long atNanos);
+  /**
+   * Called when a failover reaches a milestone.
+   *
+   * @param atNanos the time on the monotonic clock of this host
+   */
+  void onMilestone(GroupId group, long term, Milestone milestone, long atNanos);
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/failover/FailoverPhase.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/failover/FailoverPhase.java
@@ -1,11 +1,11 @@
 package org.alderyard.control.failover;
 
-/** How far the failover of a group has come, as the control log knows it. */
+/** The phase of a failover, as recorded in the control log. */
 public enum FailoverPhase {
-  /** The primary of the term is published, or there has been none yet. */
+  /** The primary of the term is published, or the group has not had a primary yet. */
   STEADY,
-  /** A term is open and no server has been chosen. */
+  /** A term is granted, and no server has been chosen. */
   GRANTED,
-  /** One server may become primary of the term. */
+  /** A server has been chosen; only this server may become primary of the term. */
   CHOSEN
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/failover/FailoverRecord.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/failover/FailoverRecord.java
@@ -9,16 +9,16 @@
 import org.alderyard.control.failover.StepResult.Reason;
 
 /**
- * What the control log holds of one group's failover.
+ * The state of one group's failover, as recorded in the control log.
  *
  * @param group the group
- * @param term the term that was granted last, 0 before the first
- * @param phase how far that term has come
- * @param kind why it was granted
- * @param members the servers whose majority decides in that term
- * @param previousPrimary the last published primary
- * @param choice the server that may take the term
- * @param grantedAtMillis the wall times of the last grants, oldest first
+ * @param term the highest granted term, 0 before the first grant
+ * @param phase the phase of the failover in that term
+ * @param kind the reason for the grant
+ * @param members the servers of the group; a majority of them decides in that term
+ * @param previousPrimary the primary that was published last
+ * @param candidate the server that may take the term
+ * @param grantedAtMillis the wall-clock times of the last grants, oldest first
  */
 public record FailoverRecord(
     GroupId group,
@@ -27,23 +27,23 @@
     FailoverKind kind,
     List<ServerId> members,
     Optional<ServerId> previousPrimary,
-    Optional<Choice> choice,
+    Optional<Candidate> candidate,
     List<Long> grantedAtMillis) {
-  /** How many times of grants are kept. */
-  static final int REMEMBERED_GRANTS = 8;
+  /** The maximum number of grant times that a record keeps. */
+  static final int MAX_GRANT_TIMES = 8;
 
-  /** Checks and copies. */
+  /** Rejects null components and copies the lists. */
   public FailoverRecord {
     Objects.requireNonNull(group);
     Objects.requireNonNull(phase);
     Objects.requireNonNull(kind);
     Objects.requireNonNull(previousPrimary);
-    Objects.requireNonNull(choice);
+    Objects.requireNonNull(candidate);
     members = List.copyOf(members);
     grantedAtMillis = List.copyOf(grantedAtMillis);
   }
 
-  /** Returns the record of a group that had no failover since the given term was published. */
+  /** Returns the record of a group without a failover after the given published term. */
   public static FailoverRecord steady(
       GroupId group, long term, List<ServerId> members, Optional<ServerId> primary) {
     return new FailoverRecord(
@@ -57,21 +57,21 @@
         List.of());
   }
 
-  /** Returns the smallest number of members of which any two sets share one. */
+  /** Returns the size of the smallest majority; any two majorities share a member. */
   public int majority() {
     return members.size() / 2 + 1;
   }
 
-  /** Returns the record after a step. */
+  /** Returns the result of applying a step to this record. */
   public StepResult apply(FailoverStep step) {
     if (step instanceof FailoverStep.Grant grant) {
       return applyGrant(grant);
     }
     if (step.term() < term) {
-      return refused(Reason.STALE_TERM);
+      return reject(Reason.STALE_TERM);
     }
     if (step.term() > term) {
-      return refused(Reason.OUT_OF_ORDER);
+      return reject(Reason.OUT_OF_ORDER);
     }
     if (step instanceof FailoverStep.Choose choose) {
       return applyChoose(choose);
@@ -81,12 +81,12 @@
 
   private StepResult applyGrant(FailoverStep.Grant grant) {
     if (grant.expectedTerm() != term || grant.term() <= term) {
-      return refused(Reason.STALE_TERM);
+      return reject(Reason.STALE_TERM);
     }
-    List<Long> grants = new ArrayList<>(grantedAtMillis);
-    grants.add(grant.grantedAtMillis());
-    int surplus = Math.max(0, grants.size() - REMEMBERED_GRANTS);
-    return accepted(
+    List<Long> grantTimes = new ArrayList<>(grantedAtMillis);
+    grantTimes.add(grant.grantedAtMillis());
+    int surplus = Math.max(0, grantTimes.size() - MAX_GRANT_TIMES);
+    return accept(
         new FailoverRecord(
             group,
             grant.term(),
@@ -95,17 +95,17 @@
             grant.members(),
             previousPrimary,
             Optional.empty(),
-            grants.subList(surplus, grants.size())));
+            grantTimes.subList(surplus, grantTimes.size())));
   }
 
   private StepResult applyChoose(FailoverStep.Choose choose) {
     if (phase != FailoverPhase.GRANTED) {
-      return refused(Reason.ALREADY_DONE);
+      return reject(Reason.ALREADY_DONE);
     }
-    if (!members.contains(choose.choice().server())) {
-      return refused(Reason.NOT_A_MEMBER);
+    if (!members.contains(choose.candidate().server())) {
+      return reject(Reason.NOT_A_MEMBER);
     }
-    return accepted(
+    return accept(
         new FailoverRecord(
             group,
             term,
@@ -113,34 +113,34 @@
             kind,
             members,
             previousPrimary,
-            Optional.of(choose.choice()),
+            Optional.of(choose.candidate()),
             grantedAtMillis));
   }
 
   private StepResult applyPublish() {
     if (phase == FailoverPhase.STEADY) {
-      return refused(Reason.ALREADY_DONE);
+      return reject(Reason.ALREADY_DONE);
     }
     if (phase == FailoverPhase.GRANTED) {
-      return refused(Reason.OUT_OF_ORDER);
+      return reject(Reason.OUT_OF_ORDER);
     }
-    return accepted(
+    return accept(
         new FailoverRecord(
             group,
             term,
             FailoverPhase.STEADY,
             kind,
             members,
-            choice.map(Choice::server),
-            choice,
+            candidate.map(Candidate::server),
+            candidate,
             grantedAtMillis));
   }
 
-  private StepResult refused(Reason reason) {
+  private StepResult reject(Reason reason) {
     return new StepResult(this, false, reason);
   }
 
-  private static StepResult accepted(FailoverRecord record) {
+  private static StepResult accept(FailoverRecord record) {
     return new StepResult(record, true, Reason.ACCEPTED);
   }
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/failover/FailoverService.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/failover/FailoverService.java
@@ -39,32 +39,34 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Gathers suspicions and runs the failovers of all groups on the control host that leads.
+ * Collects the suspicions of watchers and runs the failovers of all groups on the leader of the
+ * control log.
  *
- * <p>A host that does not lead holds nothing: what a failover needs to go on is in the control log,
- * and the evidence is asked for again.
+ * <p>A host that is not the leader keeps no failover state: the records are in the control log, and
+ * the next leader collects suspicions and server responses again.
  */
 public final class FailoverService implements AutoCloseable {
   private static final Logger log = LoggerFactory.getLogger(FailoverService.class);
-  private static final Duration TICK = Duration.ofMillis(20);
-  private static final int REPORT_MILLIS = 500;
-  private static final long SUSPICION_AGE_MILLIS = 3L * REPORT_MILLIS;
+  private static final Duration TICK_INTERVAL = Duration.ofMillis(20);
+  private static final int REPORT_INTERVAL_MILLIS = 500;
+  private static final long MAX_SUSPICION_AGE_MILLIS = 3L * REPORT_INTERVAL_MILLIS;
 
-  private final RunContext context;
+  private final FailoverContext context;
   private final DirectorOptions options;
   private final FailoverQueue queue;
-  private final WatcherAssignment assignment = new WatcherAssignment();
-  // All guarded by lock; a run's own lock may be taken inside it, never the other way round.
+  private final WatcherAssignment watcherAssignment = new WatcherAssignment();
+  // The fields below are guarded by lock. The monitor of a GroupRun may be acquired while lock is
+  // held, but not the other way round.
   private final Object lock = new Object();
-  private final SuspicionQuorum quorum = new SuspicionQuorum(SUSPICION_AGE_MILLIS);
-  private final Map<GroupId, GroupRun> runs = new TreeMap<>();
-  private final Map<GroupId, Long> handOversSinceMillis = new HashMap<>();
-  private final Map<GroupId, Long> grantsInFlight = new HashMap<>();
-  private View scanned = View.EMPTY;
-  private boolean led;
-  private Optional<ScheduledFuture<?>> ticking = Optional.empty();
+  private final SuspicionQuorum quorum = new SuspicionQuorum(MAX_SUSPICION_AGE_MILLIS);
+  private final Map<GroupId, GroupRun> groupRuns = new TreeMap<>();
+  private final Map<GroupId, Long> inactiveSinceMillis = new HashMap<>();
+  private final Map<GroupId, Long> inFlightGrants = new HashMap<>();
+  private View scannedView = View.EMPTY;
+  private boolean wasLeader;
+  private Optional<ScheduledFuture<?>> tickTimer = Optional.empty();
 
-  /** Creates a service that does nothing until it is started. */
+  /** Creates a service that is idle until {@link #start()}. */
   public FailoverService(
       ControlLog controlLog,
       FailoverTable table,
@@ -76,63 +78,67 @@
       DirectorOptions options,
       FailoverObserver observer) {
     this.options = options;
-    this.queue = new FailoverQueue(options.maxConcurrent());
+    this.queue = new FailoverQueue(options.maxConcurrentFailovers());
     this.context =
-        new RunContext(
+        new FailoverContext(
             new Director(options),
             new FlapBackoff(options),
             table,
             views,
-            new StepLog(controlLog, wallClock),
+            new StepProposer(controlLog, wallClock),
             admin,
             workers,
             clock,
             observer);
   }
 
-  /** Adds the methods of this service. */
+  /** Registers the methods of this service with a dispatcher. */
   public void serve(Dispatcher dispatcher) {
     dispatcher
-        .serve(FailoverMethods.WATCH_REPORT, this::report)
-        .serve(FailoverMethods.HAND_OVER, (peer, request) -> handOver(request));
+        .serve(FailoverMethods.WATCH_REPORT, this::handleWatchReport)
+        .serve(FailoverMethods.HAND_OVER, (peer, request) -> handleHandOver(request));
   }
 
-  /** Starts to run failovers whenever this host leads. */
+  /** Starts to run failovers whenever this host is the leader. */
   public void start() {
     synchronized (lock) {
-      ticking = Optional.of(context.workers().scheduleRepeatedly(TICK, this::tick));
+      tickTimer = Optional.of(context.workers().scheduleRepeatedly(TICK_INTERVAL, this::tick));
     }
   }
 
-  private CompletableFuture<WatchReportReply> report(PeerIdentity peer, WatchReport report) {
-    requireLeading();
+  private CompletableFuture<WatchReportReply> handleWatchReport(
+      PeerIdentity peer, WatchReport report) {
+    requireLeader();
     long nowMillis = context.clock().nowMillis();
     Map<GroupId, Suspicion> suspected = new HashMap<>();
     report
         .getSuspectedList()
         .forEach(
-            one ->
+            suspectedPrimary ->
                 suspected.put(
-                    new GroupId(one.getGroup()),
+                    new GroupId(suspectedPrimary.getGroup()),
                     new Suspicion(
-                        one.getTerm(),
-                        new ServerId(one.getPrimary()),
-                        nowMillis - one.getSuspectedForMillis(),
+                        suspectedPrimary.getTerm(),
+                        new ServerId(suspectedPrimary.getPrimary()),
+                        nowMillis - suspectedPrimary.getSuspectedForMillis(),
                         nowMillis)));
     synchronized (lock) {
-      quorum.report(peer.host(), suspected);
+      quorum.updateSuspicions(peer.host(), suspected);
     }
     if (!suspected.isEmpty()) {
       log.info("event=suspicion watcher={} groups={}", peer.host(), suspected.keySet());
       tick();
     }
     return CompletableFuture.completedFuture(
-        WatchReportReply.newBuilder().setNextReportMillis(REPORT_MILLIS).build());
+        WatchReportReply.newBuilder().setNextReportMillis(REPORT_INTERVAL_MILLIS).build());
   }
 
-  /** Starts a planned hand-over; the answer comes once it is granted or refused. */
-  private CompletableFuture<HandOverReply> handOver(HandOverRequest request) {
-    requireLeading();
+  /**
+   * Starts a planned hand-over; the future completes once the term is granted or the hand-over is
+   * refused.
+   */
+  private CompletableFuture<HandOverReply> handleHandOver(HandOverRequest request) {
+    requireLeader();
     GroupId group = new GroupId(request.getGroup());
     FailoverRecord record =
         context
@@ -140,113 +146,129 @@
             .orElseThrow(
                 () ->
                     AlderyardException.notRun(
-                        ErrorCode.NOT_FOUND, "no group '" + group + "' is known"));
+                        ErrorCode.NOT_FOUND, "group '" + group + "' does not exist"));
     long waitMillis =
-        context.backoff().waitMillis(record.grantedAtMillis(), context.steps().wallMillis());
+        context
+            .backoff()
+            .waitMillis(record.grantedAtMillis(), context.proposer().wallClockMillis());
     if (record.phase() != FailoverPhase.STEADY || waitMillis > 0) {
       throw AlderyardException.notRun(
           ErrorCode.OVERLOADED,
-          "group " + group + " is in a failover, or had several within a short time",
+          "group " + group + " is in a failover or in backoff after several recent failovers",
           Math.max(waitMillis, options.flapBaseMillis()));
     }
-    context.reached(group, record.term() + 1, Milestone.AGREED);
-    return grant(record, FailoverKind.PLANNED)
+    context.notifyMilestone(group, record.term() + 1, Milestone.AGREED);
+    return proposeGrant(record, FailoverKind.PLANNED)
         .thenApply(accepted -> HandOverReply.newBuilder().setTerm(record.term() + 1).build());
   }
 
-  private void requireLeading() {
-    if (!context.steps().leading()) {
-      throw AlderyardException.notRun(ErrorCode.NOT_LEADER, "this control host does not lead");
+  private void requireLeader() {
+    if (!context.proposer().isLeader()) {
+      throw AlderyardException.notRun(ErrorCode.NOT_LEADER, "this control host is not the leader");
     }
   }
 
   private void tick() {
-    List<GroupRun> due;
+    List<GroupRun> runsToAdvance;
     synchronized (lock) {
-      if (!context.steps().leading()) {
-        runs.clear();
-        grantsInFlight.clear();
-        led = false;
+      if (!context.proposer().isLeader()) {
+        groupRuns.clear();
+        inFlightGrants.clear();
+        wasLeader = false;
         return;
       }
       View view = context.view();
-      boolean changed = view != scanned || !led;
-      if (changed) {
-        scan(view);
-        scanned = view;
-        led = true;
+      boolean scanNeeded = view != scannedView || !wasLeader;
+      if (scanNeeded) {
+        scanView(view);
+        scannedView = view;
+        wasLeader = true;
       }
-      startWaiting(view);
-      // A settled group has nothing to do until the view changes.
-      due = runs.values().stream().filter(run -> changed || !run.settled()).toList();
+      startPendingFailovers(view);
+      // A completed run has no next step until the view changes.
+      runsToAdvance =
+          groupRuns.values().stream().filter(run -> scanNeeded || !run.isCompleted()).toList();
     }
-    due.forEach(GroupRun::advance);
+    runsToAdvance.forEach(GroupRun::advance);
   }
 
-  /** Takes up every group that the view shows in need of a step. */
-  private void scan(View view) {
-    runs.keySet().removeIf(group -> view.group(group).isEmpty());
+  /**
+   * Creates a run for each group with a term, and records since when a group's primary is not
+   * active.
+   */
+  private void scanView(View view) {
+    groupRuns.keySet().removeIf(group -> view.group(group).isEmpty());
     for (GroupState group : view.groups().values()) {
       if (group.term() > 0) {
-        runs.computeIfAbsent(group.id(), id -> new GroupRun(id, context, group.term()));
+        groupRuns.computeIfAbsent(group.id(), id -> new GroupRun(id, context, group.term()));
       }
-      boolean leaves =
+      boolean primaryInactive =
           group
               .primary()
               .flatMap(view::server)
               .map(ServerState::status)
               .filter(status -> status != ServerStatus.ACTIVE)
               .isPresent();
-      if (leaves) {
-        handOversSinceMillis.putIfAbsent(group.id(), context.clock().nowMillis());
+      if (primaryInactive) {
+        inactiveSinceMillis.putIfAbsent(group.id(), context.clock().nowMillis());
       } else {
-        handOversSinceMillis.remove(group.id());
+        inactiveSinceMillis.remove(group.id());
       }
     }
   }
 
-  private void startWaiting(View view) {
-    List<FailoverQueue.Waiting> waiting = new ArrayList<>();
+  private void startPendingFailovers(View view) {
+    List<FailoverQueue.PendingFailover> pending = new ArrayList<>();
     long nowMillis = context.clock().nowMillis();
-    for (GroupId group : quorum.groups()) {
+    for (GroupId group : quorum.suspectedGroups()) {
       context
           .record(group)
           .filter(record -> mayStart(record, nowMillis))
-          .filter(record -> agreed(record, view, nowMillis))
+          .filter(record -> majoritySuspects(record, view, nowMillis))
           .ifPresent(
               record ->
-                  waiting.add(
-                      waiting(record, FailoverKind.FAILURE, quorum.sinceMillis(group, nowMillis))));
+                  pending.add(
+                      pendingFailover(
+                          record,
+                          FailoverKind.FAILURE,
+                          quorum.earliestSuspicionMillis(group, nowMillis))));
     }
-    handOversSinceMillis.forEach(
+    inactiveSinceMillis.forEach(
         (group, sinceMillis) ->
             context
                 .record(group)
                 .filter(record -> mayStart(record, nowMillis))
-                .ifPresent(record -> waiting.add(waiting(record, kindOf(record), sinceMillis))));
-    if (waiting.isEmpty()) {
+                .ifPresent(
+                    record -> pending.add(pendingFailover(record, kindOf(record), sinceMillis))));
+    if (pending.isEmpty()) {
       return;
     }
-    int running = (int) runs.values().stream().filter(run -> !run.steady()).count();
-    for (FailoverQueue.Waiting next : queue.start(waiting, running + grantsInFlight.size())) {
-      launch(next, nowMillis);
+    int running = (int) groupRuns.values().stream().filter(run -> !run.isSteady()).count();
+    for (FailoverQueue.PendingFailover next :
+        queue.selectToStart(pending, running + inFlightGrants.size())) {
+      startFailover(next, nowMillis);
     }
   }
 
   private boolean mayStart(FailoverRecord record, long nowMillis) {
     return record.phase() == FailoverPhase.STEADY
         && record.previousPrimary().isPresent()
-        && !grantsInFlight.containsKey(record.group())
-        && context.backoff().waitMillis(record.grantedAtMillis(), context.steps().wallMillis())
+        && !inFlightGrants.containsKey(record.group())
+        && context
+                .backoff()
+                .waitMillis(record.grantedAtMillis(), context.proposer().wallClockMillis())
             == 0;
   }
 
-  private boolean agreed(FailoverRecord record, View view, long nowMillis) {
-    List<HostId> watchers = assignment.watchers(record.group(), view.hosts().values());
-    return quorum.verdict(record, watchers, nowMillis) == Verdict.AGREED;
+  private boolean majoritySuspects(FailoverRecord record, View view, long nowMillis) {
+    List<HostId> watchers = watcherAssignment.watchers(record.group(), view.hosts().values());
+    return quorum.countVotes(record, watchers, nowMillis) == Verdict.AGREED;
   }
 
-  /** A primary that said that it leaves still works; one whose lease ran out may not. */
+  /**
+   * Returns {@link FailoverKind#PLANNED} if the primary announced that it leaves, as it still
+   * serves; a primary whose lease has expired may have failed.
+   */
   private FailoverKind kindOf(FailoverRecord record) {
     boolean leaving =
         record
@@ -257,56 +279,60 @@
     return leaving ? FailoverKind.PLANNED : FailoverKind.FAILURE;
   }
 
-  private FailoverQueue.Waiting waiting(FailoverRecord record, FailoverKind kind, long since) {
-    long fromMillis = context.steps().wallMillis() - options.flapWindowMillis();
-    int recent =
-        (int) record.grantedAtMillis().stream().filter(granted -> granted > fromMillis).count();
-    return new FailoverQueue.Waiting(record, kind, since, recent);
+  private FailoverQueue.PendingFailover pendingFailover(
+      FailoverRecord record, FailoverKind kind, long sinceMillis) {
+    long fromMillis = context.proposer().wallClockMillis() - options.flapWindowMillis();
+    int recentFailovers =
+        (int)
+            record.grantedAtMillis().stream()
+                .filter(grantMillis -> grantMillis > fromMillis)
+                .count();
+    return new FailoverQueue.PendingFailover(record, kind, sinceMillis, recentFailovers);
   }
 
-  private void launch(FailoverQueue.Waiting next, long nowMillis) {
+  private void startFailover(FailoverQueue.PendingFailover next, long nowMillis) {
     GroupId group = next.record().group();
-    context.reached(group, next.record().term() + 1, Milestone.AGREED);
-    grantsInFlight.put(group, next.record().term() + 1);
+    context.notifyMilestone(group, next.record().term() + 1, Milestone.AGREED);
+    inFlightGrants.put(group, next.record().term() + 1);
     log.info(
         "event=failover-start group={} term={} kind={} waited_millis={}",
         group,
         next.record().term() + 1,
         next.kind(),
         nowMillis - next.sinceMillis());
-    grant(next.record(), next.kind())
+    proposeGrant(next.record(), next.kind())
         .whenComplete(
             (accepted, failure) ->
-                context.later(
+                context.execute(
                     () -> {
                       synchronized (lock) {
-                        grantsInFlight.remove(group);
+                        inFlightGrants.remove(group);
                       }
                       tick();
                     }));
   }
 
-  private CompletableFuture<Boolean> grant(FailoverRecord record, FailoverKind kind) {
+  private CompletableFuture<Boolean> proposeGrant(FailoverRecord record, FailoverKind kind) {
     FailoverStep.Grant grant =
         new FailoverStep.Grant(
             record.term(),
             record.term() + 1,
             kind,
             FailoverTable.members(record.group(), context.view()),
-            context.steps().wallMillis());
+            context.proposer().wallClockMillis());
     return context
-        .steps()
+        .proposer()
         .propose(record.group(), grant)
         .thenApply(
             reply -> {
               if (!reply.getAccepted()) {
                 throw AlderyardException.notRun(
                     ErrorCode.OVERLOADED,
-                    "the grant was refused: " + reply.getReason(),
+                    "the control log refused the grant: " + reply.getReason(),
                     options.flapBaseMillis());
               }
-              context.reached(record.group(), grant.term(), Milestone.GRANTED);
-              context.later(this::tick);
+              context.notifyMilestone(record.group(), grant.term(), Milestone.GRANTED);
+              context.execute(this::tick);
               return true;
             });
   }
@@ -314,7 +340,7 @@
   @Override
   public void close() {
     synchronized (lock) {
-      ticking.ifPresent(timer -> timer.cancel(false));
+      tickTimer.ifPresent(timer -> timer.cancel(false));
     }
   }
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/failover/FailoverStep.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/failover/FailoverStep.java
@@ -3,45 +3,46 @@
 import java.util.List;
 import org.alderyard.common.id.ServerId;
 
-/** A change of a {@link FailoverRecord}; repeated or late ones are refused or change nothing. */
+/** A change to a {@link FailoverRecord}; a repeated or late step is refused or has no effect. */
 public sealed interface FailoverStep {
 
-  /** Returns the term that the step belongs to. */
+  /** Returns the term of the step. */
   long term();
 
   /**
    * Opens a term.
    *
-   * @param expectedTerm the term that the proposer saw; another one makes the grant stale
-   * @param term the new term, higher than every term that a server is known to be fenced at
-   * @param kind why
+   * @param expectedTerm the term of the record that the proposer has read; the grant is refused if
+   *     the record has another term
+   * @param term the new term, higher than any term at which a server is known to be fenced
+   * @param kind the reason of the failover
    * @param members all servers of the group, a majority of which decides
-   * @param grantedAtMillis the proposer's wall time, for the back-off of a flapping group
+   * @param grantedAtMillis the proposer's wall-clock time, for the backoff of a flapping group
    */
   record Grant(
       long expectedTerm, long term, FailoverKind kind, List<ServerId> members, long grantedAtMillis)
       implements FailoverStep {
 
-    /** Copies. */
+    /** Copies the members. */
     public Grant {
       members = List.copyOf(members);
     }
   }
 
   /**
-   * Names the only server that may take the term.
+   * Chooses the only server that may take the term.
    *
-   * <p>Two directors of one term may have fenced different majorities and prefer different servers.
-   * Were both to promote theirs, the term would have two primaries. The first choice in the log
-   * stands, and a server is promoted only after it was chosen there.
+   * <p>Two directors of one term may fence different majorities and choose different servers. If
+   * both promoted their choice, the term would have two primaries. Only the first choice in the log
+   * is accepted, and a server is promoted only after the log has accepted it.
    *
    * @param term the open term
-   * @param choice the server
+   * @param candidate the chosen server
    */
-  record Choose(long term, Choice choice) implements FailoverStep {}
+  record Choose(long term, Candidate candidate) implements FailoverStep {}
 
   /**
-   * Says that the chosen server took the term.
+   * Publishes the chosen server, which has taken the term, as primary.
    *
    * @param term the term
    */
--- a/alderyard-control/src/main/java/org/alderyard/control/failover/FailoverTable.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/failover/FailoverTable.java
@@ -22,26 +22,30 @@
 import org.alderyard.protocol.generated.state.ObjectState;
 import org.alderyard.protocol.view.StateCodec;
 
-/** The failover records of all groups, as the control log builds them. */
+/** The failover records of all groups, built from the entries of the control log. */
 public final class FailoverTable implements FailoverHandler {
   // Guarded by this.
   private final Map<GroupId, FailoverRecord> records = new TreeMap<>();
 
-  /** Returns the record of a group; one without a failover so far has that of its first primary. */
+  /**
+   * Returns the record of a group, empty if the view does not contain the group.
+   *
+   * <p>A group without a failover gets a steady record with the primary of the view.
+   */
   public synchronized Optional<FailoverRecord> record(GroupId id, View view) {
     Optional<GroupState> group = view.group(id);
     if (group.isEmpty()) {
       return Optional.empty();
     }
-    FailoverRecord known = records.get(id);
-    if (known != null && known.term() >= group.get().term()) {
-      return Optional.of(known);
+    FailoverRecord stored = records.get(id);
+    if (stored != null && stored.term() >= group.get().term()) {
+      return Optional.of(stored);
     }
     return Optional.of(
         FailoverRecord.steady(id, group.get().term(), members(id, view), group.get().primary()));
   }
 
-  /** Returns the servers of a group, whatever their status: a silent one still counts. */
+  /** Returns all servers of a group; an unresponsive server counts towards the majority as well. */
   static List<ServerId> members(GroupId group, View view) {
     return view.serversOf(group).stream().map(ServerState::id).toList();
   }
@@ -50,45 +54,49 @@
   public synchronized Applied apply(long index, ByteString bytes, View view) {
     FailoverStepEntry entry = StepCodec.parse(bytes);
     GroupId id = new GroupId(entry.getGroup());
-    Optional<FailoverRecord> before = record(id, view);
-    if (before.isEmpty()) {
-      return new Applied(List.of(), reply(false, "GROUP_UNKNOWN").build().toByteString());
+    Optional<FailoverRecord> current = record(id, view);
+    if (current.isEmpty()) {
+      return new Applied(List.of(), newReply(false, "GROUP_UNKNOWN").build().toByteString());
     }
-    StepResult result = before.get().apply(StepCodec.step(entry));
-    ByteString answer =
-        reply(result.accepted(), result.reason().name())
+    StepResult result = current.get().apply(StepCodec.step(entry));
+    ByteString encodedReply =
+        newReply(result.accepted(), result.reason().name())
             .setRecord(StepCodec.message(result.record()))
             .build()
             .toByteString();
     if (!result.accepted()) {
-      return new Applied(List.of(), answer);
+      return new Applied(List.of(), encodedReply);
     }
     records.put(id, result.record());
-    GroupState group = after(view.group(id).orElseThrow(), result.record());
+    GroupState group = toGroupState(view.group(id).orElseThrow(), result.record());
     return new Applied(
-        List.of(ObjectState.newBuilder().setGroup(StateCodec.groupMessage(group)).build()), answer);
+        List.of(ObjectState.newBuilder().setGroup(StateCodec.groupMessage(group)).build()),
+        encodedReply);
   }
 
-  private static FailoverStepReply.Builder reply(boolean accepted, String reason) {
+  private static FailoverStepReply.Builder newReply(boolean accepted, String reason) {
     return FailoverStepReply.newBuilder().setAccepted(accepted).setReason(reason);
   }
 
-  /** While a failover runs the group has no primary, so that proxies hold their writes. */
-  private static GroupState after(GroupState group, FailoverRecord record) {
+  /** Returns the group without a primary while a failover runs, so that proxies hold its writes. */
+  private static GroupState toGroupState(GroupState group, FailoverRecord record) {
     boolean published = record.phase() == FailoverPhase.STEADY;
     List<TermStart> history = new ArrayList<>(group.termHistory());
     if (published) {
       record
-          .choice()
+          .candidate()
           .ifPresent(
-              choice ->
+              candidate ->
                   history.add(
-                      new TermStart(record.term(), choice.held().index(), choice.held().term())));
+                      new TermStart(
+                          record.term(),
+                          candidate.lastPosition().index(),
+                          candidate.lastPosition().term())));
     }
     return new GroupState(
         group.id(),
         record.term(),
-        published ? record.choice().map(Choice::server) : Optional.empty(),
+        published ? record.candidate().map(Candidate::server) : Optional.empty(),
         history,
         group.slotsPerServer(),
         group.connectionsPerServer());
@@ -109,9 +117,9 @@
       snapshot
           .getRecordsList()
           .forEach(entry -> records.put(new GroupId(entry.getGroup()), StepCodec.record(entry)));
-    } catch (InvalidProtocolBufferException damaged) {
+    } catch (InvalidProtocolBufferException malformed) {
       throw AlderyardException.notRun(
-          ErrorCode.STORAGE_DAMAGED, "the failover records of a snapshot can't be read");
+          ErrorCode.STORAGE_DAMAGED, "failed to parse the failover records of a snapshot");
     }
   }
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/failover/FlapBackoff.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/failover/FlapBackoff.java
@@ -3,39 +3,40 @@
 import java.util.List;
 
 /**
- * Spaces the failovers of one group.
+ * Limits how often the primary of one group is replaced.
  *
- * <p>A primary that fails again and again, or watchers that see it so, would replace primaries
- * without end, and each replacement stops writes. The first failover within the window starts at
- * once; each further one waits twice as long after the one before.
+ * <p>Each failover stops writes. If a primary fails repeatedly, or watchers wrongly report so, the
+ * group would be in failover all the time. The first failover within the flap window starts
+ * immediately; each further failover waits twice as long as the one before.
  */
 public final class FlapBackoff {
   private final DirectorOptions options;
 
-  /** Creates a back-off with the given times. */
+  /** Creates a backoff with the given window and delays. */
   public FlapBackoff(DirectorOptions options) {
     this.options = options;
   }
 
   /**
-   * Returns how long the next grant must wait, 0 if it may start now.
+   * Returns the time until the next grant is allowed, 0 if it is allowed now.
    *
-   * @param grantedAtMillis the wall times of the last grants, oldest first; from the control log,
-   *     so that a new control leader counts the same
-   * @param nowWallMillis the wall time; hosts differ by little beside the window
+   * @param grantedAtMillis the wall-clock times of the last grants, oldest first, from the control
+   *     log, so that a new control leader computes the same delay
+   * @param nowWallMillis the wall-clock time; clock differences between hosts are small compared
+   *     with the window
    */
   public long waitMillis(List<Long> grantedAtMillis, long nowWallMillis) {
-    long recent =
+    long recentGrants =
         grantedAtMillis.stream()
-            .filter(granted -> nowWallMillis - granted < options.flapWindowMillis())
+            .filter(grantMillis -> nowWallMillis - grantMillis < options.flapWindowMillis())
             .count();
-    if (recent < 2) {
+    if (recentGrants < 2) {
       return 0;
     }
-    long last = grantedAtMillis.get(grantedAtMillis.size() - 1);
-    int doublings = (int) Math.min(recent - 2, FailoverRecord.REMEMBERED_GRANTS);
-    long pauseMillis = Math.min(options.flapMaxMillis(), options.flapBaseMillis() << doublings);
-    // A wall clock that was set back must not stretch the wait past its bound.
-    return Math.min(pauseMillis, Math.max(0, last + pauseMillis - nowWallMillis));
+    long lastGrantMillis = grantedAtMillis.get(grantedAtMillis.size() - 1);
+    int doublings = (int) Math.min(recentGrants - 2, FailoverRecord.MAX_GRANT_TIMES);
+    long delayMillis = Math.min(options.flapMaxMillis(), options.flapBaseMillis() << doublings);
+    // A wall clock that was set back must not extend the wait beyond the delay.
+    return Math.min(delayMillis, Math.max(0, lastGrantMillis + delayMillis - nowWallMillis));
   }
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/failover/GroupRun.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/failover/GroupRun.java
@@ -26,79 +26,82 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Carries out the decisions about one group, one at a time.
+ * Executes the {@link Director}'s decisions about one group, one operation at a time.
  *
- * <p>All fields are guarded by the run itself; answers of servers and of the log come back through
- * the worker pool.
+ * <p>All fields are guarded by this object's monitor; responses of servers and of the control log
+ * are processed in the worker pool.
  */
 final class GroupRun {
   private static final Logger log = LoggerFactory.getLogger(GroupRun.class);
   private static final Duration CALL_TIMEOUT = Duration.ofMillis(500);
   private static final Duration POSITION_TIMEOUT = Duration.ofMillis(50);
-  private static final long RETRY_MILLIS = 50;
-  private static final long FOLLOW_RETRY_MILLIS = 1_000;
-  private static final long POLL_MILLIS = 5;
+  private static final long RETRY_DELAY_MILLIS = 50;
+  private static final long FOLLOW_RETRY_DELAY_MILLIS = 1_000;
+  private static final long POSITION_POLL_MILLIS = 5;
 
   private final GroupId group;
-  private final RunContext context;
-  private final Map<ServerId, Long> toldIncarnations = new HashMap<>();
+  private final FailoverContext context;
+  private final Map<ServerId, Long> followerIncarnations = new HashMap<>();
   private Attempt attempt;
-  private Optional<DirectorDecision> lastLogged = Optional.empty();
-  private long effect;
-  private boolean busy;
-  private volatile boolean settled;
-  private long dueMillis;
+  private Optional<DirectorDecision> lastLoggedDecision = Optional.empty();
+  private long currentOperation;
+  private boolean operationRunning;
+  private volatile boolean completed;
+  private long nextStepMillis;
 
-  GroupRun(GroupId group, RunContext context, long term) {
+  GroupRun(GroupId group, FailoverContext context, long term) {
     this.group = group;
     this.context = context;
     this.attempt = Attempt.begin(term, context.clock().nowMillis());
   }
 
-  /** Returns whether the group has a published primary. */
-  boolean steady() {
+  /** Returns whether no failover of the group is in progress. */
+  boolean isSteady() {
     return context.record(group).filter(record -> record.phase() != FailoverPhase.STEADY).isEmpty();
   }
 
-  /** Returns whether nothing is left to do in the term that was seen last. */
-  boolean settled() {
-    return settled;
+  /** Returns whether no step is left in the last term that {@link #advance()} has read. */
+  boolean isCompleted() {
+    return completed;
   }
 
-  /** Takes the next step if one is due. */
+  /** Starts the next operation if none is running and the retry delay has passed. */
   synchronized void advance() {
-    Optional<FailoverRecord> known = context.record(group);
-    if (known.isEmpty()) {
+    Optional<FailoverRecord> stored = context.record(group);
+    if (stored.isEmpty()) {
       return;
     }
-    FailoverRecord record = known.get();
+    FailoverRecord record = stored.get();
     long nowMillis = context.clock().nowMillis();
     if (attempt.term() != record.term()) {
       attempt = Attempt.begin(record.term(), nowMillis);
-      toldIncarnations.clear();
-      busy = false;
-      settled = false;
-      dueMillis = nowMillis;
+      followerIncarnations.clear();
+      operationRunning = false;
+      completed = false;
+      nextStepMillis = nowMillis;
     }
     View view = context.view();
-    noticeRestarts(view);
-    if (busy || settled || nowMillis < dueMillis) {
+    removeRestartedFollowers(view);
+    if (operationRunning || completed || nowMillis < nextStepMillis) {
       return;
     }
     DirectorDecision decision =
         context.director().decide(record, attempt, eligible(record, view), nowMillis);
-    logOnce(record, decision);
-    perform(record, view, decision, nowMillis);
+    logIfChanged(record, decision);
+    execute(record, view, decision, nowMillis);
   }
 
-  /** A server that started again follows no one until it is told. */
-  private void noticeRestarts(View view) {
-    for (ServerId server : List.copyOf(toldIncarnations.keySet())) {
-      long now = view.server(server).map(ServerState::incarnation).orElse(0L);
-      if (now != toldIncarnations.get(server)) {
-        toldIncarnations.remove(server);
-        attempt = attempt.withoutFollowing(server);
-        settled = false;
+  /**
+   * Removes restarted servers from the followers, as a restarted server follows no primary until it
+   * receives a follow request.
+   */
+  private void removeRestartedFollowers(View view) {
+    for (ServerId server : List.copyOf(followerIncarnations.keySet())) {
+      long incarnation = view.server(server).map(ServerState::incarnation).orElse(0L);
+      if (incarnation != followerIncarnations.get(server)) {
+        followerIncarnations.remove(server);
+        attempt = attempt.withoutFollower(server);
+        completed = false;
       }
     }
   }
@@ -111,11 +114,11 @@
         .collect(Collectors.toSet());
   }
 
-  private void logOnce(FailoverRecord record, DirectorDecision decision) {
-    if (lastLogged.filter(decision::equals).isPresent()) {
+  private void logIfChanged(FailoverRecord record, DirectorDecision decision) {
+    if (lastLoggedDecision.filter(decision::equals).isPresent()) {
       return;
     }
-    lastLogged = Optional.of(decision);
+    lastLoggedDecision = Optional.of(decision);
     log.info(
         "event=failover group={} term={} phase={} kind={} decision={} reason=\"{}\"",
         group,
@@ -126,10 +129,10 @@
         decision.reason());
   }
 
-  private void perform(
+  private void execute(
       FailoverRecord record, View view, DirectorDecision decision, long nowMillis) {
-    if (decision instanceof DirectorDecision.AskPositions ask) {
-      askPositions(record, ask.servers(), view);
+    if (decision instanceof DirectorDecision.AskPositions request) {
+      requestPositions(record, request.servers(), view);
     } else if (decision instanceof DirectorDecision.Fence fence) {
       fence(record, fence.servers(), view);
     } else if (decision instanceof DirectorDecision.Propose propose) {
@@ -141,76 +144,90 @@
     } else if (decision instanceof DirectorDecision.Regrant regrant) {
       regrant(record, regrant, view, nowMillis);
     } else if (decision instanceof DirectorDecision.RefuseNoQuorum refusal) {
-      dueMillis = nowMillis + refusal.retryAfterMillis();
-      attempt = attempt.restarted(dueMillis);
+      nextStepMillis = nowMillis + refusal.retryAfterMillis();
+      attempt = attempt.withStartTime(nextStepMillis);
     } else {
-      settled = true;
+      completed = true;
     }
   }
 
-  private void askPositions(FailoverRecord record, List<ServerId> servers, View view) {
-    long mine = begin();
-    List<CompletableFuture<?>> asked = new ArrayList<>();
+  private void requestPositions(FailoverRecord record, List<ServerId> servers, View view) {
+    long operation = beginOperation();
+    List<CompletableFuture<?>> responses = new ArrayList<>();
     for (ServerId server : servers) {
-      asked.add(
-          address(view, server)
+      responses.add(
+          findServer(view, server)
               .thenCompose(state -> context.admin().state(state.address(), POSITION_TIMEOUT))
               .thenAcceptAsync(
                   report -> {
-                    learn(record.term(), a -> a.withHeld(server, report.held()));
-                    endIfDrained(record, view, mine);
+                    updateAttempt(
+                        record.term(),
+                        current -> current.withUnfencedPosition(server, report.held()));
+                    endIfCaughtUp(record, view, operation);
                   },
-                  context::later));
+                  context::execute));
     }
-    CompletableFuture.allOf(asked.toArray(CompletableFuture[]::new))
-        .whenComplete((done, failure) -> context.later(() -> ended(mine, POLL_MILLIS)));
+    CompletableFuture.allOf(responses.toArray(CompletableFuture[]::new))
+        .whenComplete(
+            (ignored, failure) ->
+                context.execute(() -> endOperation(operation, POSITION_POLL_MILLIS)));
   }
 
-  private void endIfDrained(FailoverRecord record, View view, long mine) {
-    boolean drained;
+  private void endIfCaughtUp(FailoverRecord record, View view, long operation) {
+    boolean caughtUp;
     synchronized (this) {
       long nowMillis = context.clock().nowMillis();
-      drained =
+      caughtUp =
           !(context.director().decide(record, attempt, eligible(record, view), nowMillis)
               instanceof DirectorDecision.AskPositions);
     }
-    if (drained) {
-      ended(mine, 0);
+    if (caughtUp) {
+      endOperation(operation, 0);
     }
   }
 
   private void fence(FailoverRecord record, List<ServerId> servers, View view) {
-    long mine = begin();
+    long operation = beginOperation();
     long term = record.term();
-    List<CompletableFuture<?>> asked = new ArrayList<>();
+    List<CompletableFuture<?>> responses = new ArrayList<>();
     for (ServerId server : servers) {
-      asked.add(
-          address(view, server)
+      responses.add(
+          findServer(view, server)
               .thenCompose(state -> context.admin().fence(state.address(), term, CALL_TIMEOUT))
-              .thenAcceptAsync(report -> onFenced(record, mine, server, report), context::later)
-              .exceptionallyCompose(failure -> askTermOfRefusal(record, view, server, failure)));
+              .thenAcceptAsync(
+                  report -> onFenced(record, operation, server, report), context::execute)
+              .exceptionallyCompose(
+                  failure -> requestTermAfterRefusal(record, view, server, failure)));
     }
-    CompletableFuture.allOf(asked.toArray(CompletableFuture[]::new))
-        .whenComplete((done, failure) -> context.later(() -> ended(mine, RETRY_MILLIS)));
+    CompletableFuture.allOf(responses.toArray(CompletableFuture[]::new))
+        .whenComplete(
+            (ignored, failure) ->
+                context.execute(() -> endOperation(operation, RETRY_DELAY_MILLIS)));
   }
 
-  /** Goes on as soon as a majority is fenced: a dead server must not cost its time-out. */
-  private void onFenced(FailoverRecord record, long mine, ServerId server, ServerReport report) {
-    learn(record.term(), a -> a.withFenced(server, report.term(), report.held()));
-    boolean enough;
+  /**
+   * Ends the operation as soon as a majority is fenced, so that a failed server does not delay it
+   * until the timeout.
+   */
+  private void onFenced(
+      FailoverRecord record, long operation, ServerId server, ServerReport report) {
+    updateAttempt(
+        record.term(), current -> current.withFencedPosition(server, report.term(), report.held()));
+    boolean majorityFenced;
     synchronized (this) {
-      enough = effect == mine && attempt.fenced().size() >= record.majority();
+      majorityFenced =
+          currentOperation == operation && attempt.fencedPositions().size() >= record.majority();
     }
-    if (enough) {
-      context.reached(group, record.term(), Milestone.FENCED);
-      ended(mine, 0);
+    if (majorityFenced) {
+      context.notifyMilestone(group, record.term(), Milestone.FENCED);
+      endOperation(operation, 0);
     }
   }
 
   private void propose(FailoverStep step) {
-    long mine = begin();
+    long operation = beginOperation();
     context
-        .steps()
+        .proposer()
         .propose(group, step)
         .whenComplete(
             (reply, failure) -> {
@@ -221,9 +238,10 @@
                     step.term(),
                     Futures.unwrap(failure).toString());
               } else if (reply.getAccepted()) {
-                context.reached(group, step.term(), milestone(step));
+                context.notifyMilestone(group, step.term(), milestone(step));
               }
-              context.later(() -> ended(mine, failure == null ? 0 : RETRY_MILLIS));
+              context.execute(
+                  () -> endOperation(operation, failure == null ? 0 : RETRY_DELAY_MILLIS));
             });
   }
 
@@ -235,45 +253,53 @@
   }
 
   private void promote(FailoverRecord record, ServerId server, View view) {
-    long mine = begin();
-    address(view, server)
+    long operation = beginOperation();
+    findServer(view, server)
         .thenCompose(state -> context.admin().promote(state.address(), record.term(), CALL_TIMEOUT))
         .thenAccept(
             report -> {
               if (report.role() == ServerRole.PRIMARY && report.term() == record.term()) {
-                learn(record.term(), Attempt::withPromoted);
-                context.reached(group, record.term(), Milestone.PROMOTED);
+                updateAttempt(record.term(), Attempt::withPromoted);
+                context.notifyMilestone(group, record.term(), Milestone.PROMOTED);
               }
             })
-        .exceptionallyCompose(failure -> askTermOfRefusal(record, view, server, failure))
+        .exceptionallyCompose(failure -> requestTermAfterRefusal(record, view, server, failure))
         .whenComplete(
-            (done, failure) ->
-                context.later(() -> ended(mine, failure == null ? 0 : RETRY_MILLIS)));
+            (ignored, failure) ->
+                context.execute(
+                    () -> endOperation(operation, failure == null ? 0 : RETRY_DELAY_MILLIS)));
   }
 
   private void follow(FailoverRecord record, DirectorDecision.Follow follow, View view) {
-    long mine = begin();
-    List<CompletableFuture<?>> asked = new ArrayList<>();
+    long operation = beginOperation();
+    List<CompletableFuture<?>> responses = new ArrayList<>();
     for (ServerId server : follow.servers()) {
-      asked.add(
-          address(view, follow.primary())
+      responses.add(
+          findServer(view, follow.primary())
               .thenCombine(
-                  address(view, server),
-                  (primary, state) -> followOne(record.term(), primary, state))
-              .thenCompose(told -> told)
-              .exceptionallyCompose(failure -> askTermOfRefusal(record, view, server, failure)));
+                  findServer(view, server),
+                  (primary, state) -> requestFollow(record.term(), primary, state))
+              .thenCompose(response -> response)
+              .exceptionallyCompose(
+                  failure -> requestTermAfterRefusal(record, view, server, failure)));
     }
-    CompletableFuture.allOf(asked.toArray(CompletableFuture[]::new))
-        .whenComplete((done, failure) -> context.later(() -> ended(mine, followPause(record))));
+    CompletableFuture.allOf(responses.toArray(CompletableFuture[]::new))
+        .whenComplete(
+            (ignored, failure) ->
+                context.execute(() -> endOperation(operation, followRetryDelayMillis(record))));
   }
 
-  /** No write is acknowledged before a majority follows, so until then no time is wasted. */
-  private synchronized long followPause(FailoverRecord record) {
-    boolean majorityFollows = attempt.following().size() + 1 >= record.majority();
-    return majorityFollows ? FOLLOW_RETRY_MILLIS : RETRY_MILLIS;
+  /**
+   * Returns the delay before follow requests are retried; it is short until a majority follows, as
+   * no write is acknowledged before.
+   */
+  private synchronized long followRetryDelayMillis(FailoverRecord record) {
+    boolean majorityFollows = attempt.followers().size() + 1 >= record.majority();
+    return majorityFollows ? FOLLOW_RETRY_DELAY_MILLIS : RETRY_DELAY_MILLIS;
   }
 
-  private CompletableFuture<Void> followOne(long term, ServerState primary, ServerState server) {
+  private CompletableFuture<Void> requestFollow(
+      long term, ServerState primary, ServerState server) {
     return context
         .admin()
         .follow(server.address(), term, primary.address(), CALL_TIMEOUT)
@@ -281,8 +307,8 @@
             report -> {
               synchronized (this) {
                 if (attempt.term() == term) {
-                  attempt = attempt.withFollowing(server.id());
-                  toldIncarnations.put(server.id(), server.incarnation());
+                  attempt = attempt.withFollower(server.id());
+                  followerIncarnations.put(server.id(), server.incarnation());
                 }
               }
             });
@@ -291,9 +317,11 @@
   private void regrant(
       FailoverRecord record, DirectorDecision.Regrant regrant, View view, long nowMillis) {
     long waitMillis =
-        context.backoff().waitMillis(record.grantedAtMillis(), context.steps().wallMillis());
+        context
+            .backoff()
+            .waitMillis(record.grantedAtMillis(), context.proposer().wallClockMillis());
     if (waitMillis > 0) {
-      dueMillis = nowMillis + waitMillis;
+      nextStepMillis = nowMillis + waitMillis;
       return;
     }
     propose(
@@ -302,11 +330,14 @@
             regrant.term(),
             FailoverKind.FAILURE,
             FailoverTable.members(group, view),
-            context.steps().wallMillis()));
+            context.proposer().wallClockMillis()));
   }
 
-  /** A server that refuses our term has seen a higher one: asks which, for the next grant. */
-  private CompletableFuture<Void> askTermOfRefusal(
+  /**
+   * Requests the term of a server that refused a request because it has seen a higher term; the
+   * next grant uses a term above it.
+   */
+  private CompletableFuture<Void> requestTermAfterRefusal(
       FailoverRecord record, View view, ServerId server, Throwable failure) {
     boolean refused =
         Futures.unwrap(failure) instanceof BackendException refusal
@@ -314,12 +345,14 @@
     if (!refused) {
       return CompletableFuture.failedFuture(failure);
     }
-    return address(view, server)
+    return findServer(view, server)
         .thenCompose(state -> context.admin().state(state.address(), CALL_TIMEOUT))
-        .thenAccept(report -> learn(record.term(), a -> a.withHigherTerm(report.term())));
+        .thenAccept(
+            report ->
+                updateAttempt(record.term(), current -> current.withHigherTerm(report.term())));
   }
 
-  private static CompletableFuture<ServerState> address(View view, ServerId server) {
+  private static CompletableFuture<ServerState> findServer(View view, ServerId server) {
     return view.server(server)
         .map(CompletableFuture::completedFuture)
         .orElseGet(
@@ -329,27 +362,30 @@
                         ErrorCode.NOT_FOUND, "server " + server + " is not registered")));
   }
 
-  /** Takes in an answer; one of a request of another term says nothing about this one. */
-  private synchronized void learn(long term, UnaryOperator<Attempt> lesson) {
+  /** Updates the attempt with a response; a response to a request of another term is ignored. */
+  private synchronized void updateAttempt(long term, UnaryOperator<Attempt> update) {
     if (attempt.term() == term) {
-      attempt = lesson.apply(attempt);
+      attempt = update.apply(attempt);
     }
   }
 
-  private synchronized long begin() {
-    busy = true;
-    effect++;
-    return effect;
+  private synchronized long beginOperation() {
+    operationRunning = true;
+    currentOperation++;
+    return currentOperation;
   }
 
-  /** Ends an effect once; what arrives for an earlier one changes nothing but the evidence. */
-  private void ended(long which, long pauseMillis) {
+  /**
+   * Ends an operation and advances the run; has no effect if the operation has already ended. A
+   * late response to an ended operation changes only the attempt.
+   */
+  private void endOperation(long operation, long delayMillis) {
     synchronized (this) {
-      if (!busy || which != effect) {
+      if (!operationRunning || operation != currentOperation) {
         return;
       }
-      busy = false;
-      dueMillis = context.clock().nowMillis() + pauseMillis;
+      operationRunning = false;
+      nextStepMillis = context.clock().nowMillis() + delayMillis;
     }
     advance();
   }
--- a/alderyard-control/src/main/java/org/alderyard/control/failover/StepCodec.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/failover/StepCodec.java
@@ -17,12 +17,12 @@
 import org.alderyard.protocol.generated.failover.Phase;
 import org.alderyard.protocol.generated.failover.PublishStep;
 
-/** Maps steps and records between their messages and their domain types. */
+/** Converts failover steps and records to and from their protocol messages. */
 final class StepCodec {
 
   private StepCodec() {}
 
-  static ByteString bytes(GroupId group, FailoverStep step) {
+  static ByteString encode(GroupId group, FailoverStep step) {
     FailoverStepEntry.Builder entry = FailoverStepEntry.newBuilder().setGroup(group.value());
     if (step instanceof FailoverStep.Grant grant) {
       entry
@@ -37,9 +37,9 @@
       entry.setChoose(
           ChooseStep.newBuilder()
               .setTerm(choose.term())
-              .setServer(choose.choice().server().value())
-              .setStartIndex(choose.choice().held().index())
-              .setStartTerm(choose.choice().held().term()));
+              .setServer(choose.candidate().server().value())
+              .setStartIndex(choose.candidate().lastPosition().index())
+              .setStartTerm(choose.candidate().lastPosition().term()));
     } else {
       entry.setPublish(PublishStep.newBuilder().setTerm(step.term()));
     }
@@ -49,9 +49,9 @@
   static FailoverStepEntry parse(ByteString bytes) {
     try {
       return FailoverStepEntry.parseFrom(bytes);
-    } catch (InvalidProtocolBufferException damaged) {
+    } catch (InvalidProtocolBufferException malformed) {
       throw AlderyardException.notRun(
-          ErrorCode.STORAGE_DAMAGED, "a failover step in the control log can't be read");
+          ErrorCode.STORAGE_DAMAGED, "failed to parse a failover step in the control log");
     }
   }
 
@@ -62,19 +62,19 @@
               entry.getGrant().getExpectedTerm(),
               entry.getGrant().getTerm(),
               FailoverKind.valueOf(entry.getGrant().getKind().name()),
-              servers(entry.getGrant().getMembersList()),
+              toServerIds(entry.getGrant().getMembersList()),
               entry.getProposedAtMillis());
       case CHOOSE ->
           new FailoverStep.Choose(
               entry.getChoose().getTerm(),
-              new Choice(
+              new Candidate(
                   new ServerId(entry.getChoose().getServer()),
                   new Position(
                       entry.getChoose().getStartTerm(), entry.getChoose().getStartIndex())));
       case PUBLISH -> new FailoverStep.Publish(entry.getPublish().getTerm());
       case STEP_NOT_SET ->
           throw AlderyardException.notRun(
-              ErrorCode.STORAGE_DAMAGED, "a failover step in the control log is of no known kind");
+              ErrorCode.STORAGE_DAMAGED, "a failover step in the control log has an unknown type");
     };
   }
 
@@ -89,13 +89,13 @@
             .addAllGrantedAtMillis(record.grantedAtMillis());
     record.previousPrimary().ifPresent(server -> entry.setPreviousPrimary(server.value()));
     record
-        .choice()
+        .candidate()
         .ifPresent(
-            choice ->
+            candidate ->
                 entry
-                    .setChosen(choice.server().value())
-                    .setStartIndex(choice.held().index())
-                    .setStartTerm(choice.held().term()));
+                    .setChosen(candidate.server().value())
+                    .setStartIndex(candidate.lastPosition().index())
+                    .setStartTerm(candidate.lastPosition().term()));
     return entry.build();
   }
 
@@ -105,20 +105,21 @@
         entry.getTerm(),
         FailoverPhase.valueOf(entry.getPhase().name()),
         FailoverKind.valueOf(entry.getKind().name()),
-        servers(entry.getMembersList()),
-        server(entry.getPreviousPrimary()),
-        server(entry.getChosen())
+        toServerIds(entry.getMembersList()),
+        toServerId(entry.getPreviousPrimary()),
+        toServerId(entry.getChosen())
             .map(
-                chosen ->
-                    new Choice(chosen, new Position(entry.getStartTerm(), entry.getStartIndex()))),
+                serverId ->
+                    new Candidate(
+                        serverId, new Position(entry.getStartTerm(), entry.getStartIndex()))),
         entry.getGrantedAtMillisList());
   }
 
-  private static Optional<ServerId> server(String name) {
+  private static Optional<ServerId> toServerId(String name) {
     return name.isEmpty() ? Optional.empty() : Optional.of(new ServerId(name));
   }
 
-  private static List<ServerId> servers(List<String> names) {
+  private static List<ServerId> toServerIds(List<String> names) {
     return names.stream().map(ServerId::new).toList();
   }
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/failover/StepLog.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/failover/StepProposer.java
@@ -12,39 +12,43 @@
 import org.alderyard.protocol.generated.failover.FailoverStepReply;
 
 /** Proposes failover steps to the control log. */
-final class StepLog {
+final class StepProposer {
   private final ControlLog controlLog;
   private final InstantSource wallClock;
 
-  StepLog(ControlLog controlLog, InstantSource wallClock) {
+  StepProposer(ControlLog controlLog, InstantSource wallClock) {
     this.controlLog = controlLog;
     this.wallClock = wallClock;
   }
 
-  boolean leading() {
+  boolean isLeader() {
     return controlLog.leading();
   }
 
-  long wallMillis() {
+  long wallClockMillis() {
     return wallClock.millis();
   }
 
-  /** Completes once the step is committed and applied here, whether it was accepted or not. */
+  /**
+   * Proposes a step; the future completes once it is committed and applied on this host, whether it
+   * was accepted or refused.
+   */
   CompletableFuture<FailoverStepReply> propose(GroupId group, FailoverStep step) {
     ByteString command =
         Command.newBuilder()
             .setProposedAtMillis(wallClock.millis())
-            .setFailoverStep(StepCodec.bytes(group, step))
+            .setFailoverStep(StepCodec.encode(group, step))
             .build()
             .toByteString();
-    return controlLog.propose(command).thenApply(StepLog::parse);
+    return controlLog.propose(command).thenApply(StepProposer::parse);
   }
 
   private static FailoverStepReply parse(ByteString bytes) {
     try {
       return FailoverStepReply.parseFrom(bytes);
-    } catch (InvalidProtocolBufferException damaged) {
-      throw AlderyardException.unknown(ErrorCode.INTERNAL, "answer of a failover step", damaged);
+    } catch (InvalidProtocolBufferException malformed) {
+      throw AlderyardException.unknown(
+          ErrorCode.INTERNAL, "failed to parse the reply to a failover step", malformed);
     }
   }
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/failover/StepResult.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/failover/StepResult.java
@@ -1,25 +1,25 @@
 package org.alderyard.control.failover;
 
 /**
- * What a step did to a record.
+ * The result of applying a {@link FailoverStep} to a {@link FailoverRecord}.
  *
- * @param record the record after it
- * @param accepted whether the step changed it
- * @param reason why
+ * @param record the record after the step
+ * @param accepted whether the step changed the record
+ * @param reason why the step was accepted or refused
  */
 public record StepResult(FailoverRecord record, boolean accepted, Reason reason) {
 
-  /** Why a step was accepted or not. */
+  /** The reason why a step was accepted or refused. */
   public enum Reason {
-    /** It changed the record. */
+    /** The step changed the record. */
     ACCEPTED,
-    /** The record has moved on to a later term. */
+    /** The record is of a later term than the step. */
     STALE_TERM,
-    /** The same step, or one that excludes it, came first. */
+    /** The same step, or another step that excludes it, was applied before. */
     ALREADY_DONE,
-    /** A step that must come before it is missing. */
+    /** A preceding step has not been applied yet. */
     OUT_OF_ORDER,
-    /** The chosen server is no member of the group. */
+    /** The chosen server is not a member of the group. */
     NOT_A_MEMBER
   }
 }
--- a/alderyard-control/src/test/java/org/alderyard/control/failover/DirectorExplorer.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/failover/DirectorExplorer.java
@@ -1,7 +1,7 @@
 package org.alderyard.control.failover;
 
-import static org.alderyard.control.failover.ModelState.number;
-import static org.alderyard.control.failover.ModelState.server;
+import static org.alderyard.control.failover.ModelState.serverId;
+import static org.alderyard.control.failover.ModelState.serverIndex;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -13,274 +13,296 @@
 import org.alderyard.common.id.ServerId;
 
 /**
- * Walks through every state that two directors, a few servers and an unreliable network can reach,
- * within a bound on terms and writes, and checks each.
+ * Explores, breadth first, every state that two directors, a few servers and an unreliable network
+ * can reach within a limit on terms and writes, and checks each state.
  */
 final class DirectorExplorer {
-  private static final long TIMED_OUT_MILLIS = 1_000_000;
-  private static final int FAIR_STEPS = 60;
+  private static final long AFTER_TIMEOUTS_MILLIS = 1_000_000;
+  private static final int MAX_FAULT_FREE_STEPS = 60;
 
-  /** How a director decides; a broken one shows that the explorer can fail. */
-  interface Rules {
+  /**
+   * The decision function of a director; a faulty function shows that the explorer detects faults.
+   */
+  interface DecisionFunction {
     DirectorDecision decide(
         FailoverRecord record, Attempt attempt, Set<ServerId> eligible, long nowMillis);
   }
 
   /**
-   * The result of a walk.
+   * The result of an exploration.
    *
-   * @param states how many different states were reached
-   * @param fault the first fault found, nearest to the start
+   * @param states the number of distinct states that were reached
+   * @param fault the first fault found, in the fewest steps from the start state
    */
   record Result(long states, Optional<String> fault) {}
 
-  private final Rules rules;
+  private final DecisionFunction decisionFunction;
   private final int serverCount;
   private final int maxTerm;
   private final int maxWrites;
-  private final boolean checkEnd;
+  private final boolean checkTermination;
 
-  DirectorExplorer(Rules rules, int serverCount, int maxTerm, int maxWrites, boolean checkEnd) {
-    this.rules = rules;
+  DirectorExplorer(
+      DecisionFunction decisionFunction,
+      int serverCount,
+      int maxTerm,
+      int maxWrites,
+      boolean checkTermination) {
+    this.decisionFunction = decisionFunction;
     this.serverCount = serverCount;
     this.maxTerm = maxTerm;
     this.maxWrites = maxWrites;
-    this.checkEnd = checkEnd;
+    this.checkTermination = checkTermination;
   }
 
   Result explore() {
-    ModelState start = new ModelState(serverCount, maxTerm);
-    Set<String> seen = new HashSet<>();
-    ArrayDeque<ModelState> open = new ArrayDeque<>();
-    seen.add(start.encode());
-    open.add(start);
-    while (!open.isEmpty()) {
-      ModelState state = open.poll();
+    ModelState initial = new ModelState(serverCount, maxTerm);
+    Set<String> visited = new HashSet<>();
+    ArrayDeque<ModelState> queue = new ArrayDeque<>();
+    visited.add(initial.encode());
+    queue.add(initial);
+    while (!queue.isEmpty()) {
+      ModelState state = queue.poll();
       Optional<String> fault = state.fault();
-      if (fault.isEmpty() && checkEnd) {
-        fault = endlessness(state);
+      if (fault.isEmpty() && checkTermination) {
+        fault = terminationFault(state);
       }
       if (fault.isPresent()) {
-        return new Result(seen.size(), fault);
+        return new Result(visited.size(), fault);
       }
       for (ModelState next : successors(state)) {
         next.normalize();
-        if (seen.add(next.encode())) {
-          open.add(next);
+        if (visited.add(next.encode())) {
+          queue.add(next);
         }
       }
     }
-    return new Result(seen.size(), Optional.empty());
+    return new Result(visited.size(), Optional.empty());
   }
 
   private List<ModelState> successors(ModelState state) {
-    List<ModelState> all = new ArrayList<>();
+    List<ModelState> successors = new ArrayList<>();
     for (int director = 0; director < 2; director++) {
-      directorMoves(state, director, all);
-      answersArrive(state, director, all);
+      addDirectorTransitions(state, director, successors);
+      addResponseDeliveries(state, director, successors);
     }
-    for (FailoverStep step : state.proposals) {
+    for (FailoverStep step : state.proposedSteps) {
       StepResult result = state.record.apply(step);
       if (result.accepted()) {
         ModelState next = state.copy();
         next.record = result.record();
-        all.add(next);
+        successors.add(next);
       }
     }
     for (int server = 0; server < serverCount; server++) {
-      serverMoves(state, server, all);
+      addServerTransitions(state, server, successors);
     }
-    return all;
+    return successors;
   }
 
-  private void directorMoves(ModelState state, int director, List<ModelState> all) {
+  private void addDirectorTransitions(ModelState state, int director, List<ModelState> successors) {
     ModelState crashed = state.copy();
     crashed.crash(director);
-    all.add(crashed);
+    successors.add(crashed);
     ModelState refreshed = state.copy();
-    refreshed.read(director);
-    all.add(refreshed);
-    FailoverRecord known = state.known[director];
-    if (known.phase() == FailoverPhase.STEADY) {
-      // Suspicion may be right or wrong at any time.
-      propose(state, grant(known, known.term() + 1), all);
+    refreshed.readRecord(director);
+    successors.add(refreshed);
+    FailoverRecord knownRecord = state.knownRecords[director];
+    if (knownRecord.phase() == FailoverPhase.STEADY) {
+      // Watchers may suspect the primary at any time, rightly or wrongly.
+      addProposal(state, grant(knownRecord, knownRecord.term() + 1), successors);
     }
-    act(state, director, 0, all);
-    act(state, director, TIMED_OUT_MILLIS, all);
+    addDecision(state, director, 0, successors);
+    addDecision(state, director, AFTER_TIMEOUTS_MILLIS, successors);
   }
 
-  private void act(ModelState state, int director, long nowMillis, List<ModelState> all) {
-    FailoverRecord known = state.known[director];
+  private void addDecision(
+      ModelState state, int director, long nowMillis, List<ModelState> successors) {
+    FailoverRecord knownRecord = state.knownRecords[director];
     DirectorDecision decision =
-        rules.decide(known, state.attempts[director], state.eligible(), nowMillis);
-    int term = (int) known.term();
+        decisionFunction.decide(knownRecord, state.attempts[director], state.eligible(), nowMillis);
+    int term = (int) knownRecord.term();
     if (decision instanceof DirectorDecision.Propose propose) {
-      propose(state, propose.step(), all);
+      addProposal(state, propose.step(), successors);
     } else if (decision instanceof DirectorDecision.Regrant regrant) {
-      propose(state, grant(known, regrant.term()), all);
+      addProposal(state, grant(knownRecord, regrant.term()), successors);
     } else {
       ModelState next = state.copy();
       if (decision instanceof DirectorDecision.Fence) {
-        next.fencesSent |= 1 << term;
+        next.fenceTermsSent |= 1 << term;
       } else if (decision instanceof DirectorDecision.Promote promote) {
-        next.promotesSent |= 1 << (term * 3 + number(promote.server()));
+        next.promotionsSent |= 1 << (term * 3 + serverIndex(promote.server()));
       } else if (decision instanceof DirectorDecision.Follow) {
-        next.followsSent |= 1 << term;
+        next.followTermsSent |= 1 << term;
       }
-      all.add(next);
+      successors.add(next);
     }
   }
 
-  private void propose(ModelState state, FailoverStep step, List<ModelState> all) {
+  private void addProposal(ModelState state, FailoverStep step, List<ModelState> successors) {
     if (step.term() > maxTerm) {
       return;
     }
     ModelState next = state.copy();
-    if (next.send(step)) {
-      all.add(next);
+    if (next.addProposal(step)) {
+      successors.add(next);
     }
   }
 
-  private static FailoverStep grant(FailoverRecord known, long term) {
-    return new FailoverStep.Grant(known.term(), term, FailoverKind.FAILURE, known.members(), 0);
+  private static FailoverStep grant(FailoverRecord knownRecord, long term) {
+    return new FailoverStep.Grant(
+        knownRecord.term(), term, FailoverKind.FAILURE, knownRecord.members(), 0);
   }
 
-  private void answersArrive(ModelState state, int director, List<ModelState> all) {
-    int term = (int) state.known[director].term();
+  private void addResponseDeliveries(ModelState state, int director, List<ModelState> successors) {
+    int term = (int) state.knownRecords[director].term();
     for (int server = 0; server < serverCount; server++) {
-      ModelServer one = state.servers[server];
-      if (state.fenceAnswers[term][server] != null) {
-        learn(state, director, server, term, state.fenceAnswers[term][server], all);
+      ModelServer modelServer = state.servers[server];
+      if (state.fenceResponses[term][server] != null) {
+        addFenceResponse(
+            state, director, server, term, state.fenceResponses[term][server], successors);
       }
-      boolean asked = (state.fencesSent & 1 << term) != 0;
-      if (asked && one.fencedAt == term) {
-        // A server that is fenced higher makes the director ask for a higher term, which the log
-        // refuses here: a server's higher term came from a grant that this director has not read.
-        learn(state, director, server, term, one.position(), all);
+      boolean fenceSent = (state.fenceTermsSent & 1 << term) != 0;
+      if (fenceSent && modelServer.fencedAt == term) {
+        // A server that is fenced at a higher term makes the director propose a higher term, which
+        // the log refuses here: the higher term comes from a grant that this director has not read
+        // yet.
+        addFenceResponse(state, director, server, term, modelServer.position(), successors);
       }
     }
-    if (state.primaries[term] != 0 && state.known[director].phase() == FailoverPhase.CHOSEN) {
+    if (state.primaries[term] != 0
+        && state.knownRecords[director].phase() == FailoverPhase.CHOSEN) {
       ModelState next = state.copy();
       next.attempts[director] = next.attempts[director].withPromoted();
-      all.add(next);
+      successors.add(next);
     }
   }
 
-  private static void learn(
+  private static void addFenceResponse(
       ModelState state,
       int director,
       int server,
       int serverTerm,
       Position position,
-      List<ModelState> all) {
+      List<ModelState> successors) {
     ModelState next = state.copy();
     next.attempts[director] =
-        next.attempts[director].withFenced(server(server), serverTerm, position);
-    all.add(next);
+        next.attempts[director].withFencedPosition(serverId(server), serverTerm, position);
+    successors.add(next);
   }
 
-  private void serverMoves(ModelState state, int server, List<ModelState> all) {
+  private void addServerTransitions(ModelState state, int server, List<ModelState> successors) {
     for (int term = 1; term <= maxTerm; term++) {
-      if ((state.fencesSent & 1 << term) != 0) {
+      if ((state.fenceTermsSent & 1 << term) != 0) {
         ModelState next = state.copy();
         fence(next, server, term);
-        all.add(next);
+        successors.add(next);
       }
-      if ((state.promotesSent & 1 << (term * 3 + server)) != 0) {
+      if ((state.promotionsSent & 1 << (term * 3 + server)) != 0) {
         ModelState next = state.copy();
         promote(next, server, term);
-        all.add(next);
+        successors.add(next);
       }
-      if ((state.followsSent & 1 << term) != 0 && state.termLogs[term] != null) {
+      if ((state.followTermsSent & 1 << term) != 0 && state.termLogs[term] != null) {
         ModelState next = state.copy();
         follow(next, server, term);
-        all.add(next);
+        successors.add(next);
       }
     }
-    ModelServer one = state.servers[server];
-    if (one.primaryOf > 0 && state.writes < maxWrites) {
+    ModelServer modelServer = state.servers[server];
+    if (modelServer.primaryOf > 0 && state.writes < maxWrites) {
       ModelState next = state.copy();
       next.writes++;
-      next.servers[server].append(one.primaryOf);
-      next.termLogs[one.primaryOf] = next.servers[server].entryTerms;
-      next.noteHeld(server);
-      all.add(next);
+      next.servers[server].append(modelServer.primaryOf);
+      next.termLogs[modelServer.primaryOf] = next.servers[server].entryTerms;
+      next.recordLogLength(server);
+      successors.add(next);
     }
-    if (one.followerOf > 0 && one.entryTerms.length < state.termLogs[one.followerOf].length) {
+    if (modelServer.followerOf > 0
+        && modelServer.entryTerms.length < state.termLogs[modelServer.followerOf].length) {
       ModelState next = state.copy();
-      next.servers[server].append(state.termLogs[one.followerOf][one.entryTerms.length]);
-      next.noteHeld(server);
-      all.add(next);
+      next.servers[server].append(
+          state.termLogs[modelServer.followerOf][modelServer.entryTerms.length]);
+      next.recordLogLength(server);
+      successors.add(next);
     }
   }
 
   private static void fence(ModelState state, int server, int term) {
-    ModelServer one = state.servers[server];
-    if (one.fence(term) && state.fenceAnswers[term][server] == null) {
-      state.fenceAnswers[term][server] = one.position();
+    ModelServer modelServer = state.servers[server];
+    if (modelServer.fence(term) && state.fenceResponses[term][server] == null) {
+      state.fenceResponses[term][server] = modelServer.position();
     }
   }
 
   private static void promote(ModelState state, int server, int term) {
-    ModelServer one = state.servers[server];
-    boolean already = one.primaryOf == term;
-    if (one.promote(term) && !already) {
+    ModelServer modelServer = state.servers[server];
+    boolean alreadyPromoted = modelServer.primaryOf == term;
+    if (modelServer.promote(term) && !alreadyPromoted) {
       state.primaries[term] |= 1 << server;
-      state.termLogs[term] = one.entryTerms;
-      state.noteHeld(server);
+      state.termLogs[term] = modelServer.entryTerms;
+      state.recordLogLength(server);
     }
   }
 
   private static void follow(ModelState state, int server, int term) {
     state.servers[server].follow(term, state.termLogs[term]);
-    state.noteHeld(server);
+    state.recordLogLength(server);
   }
 
-  /** From here on no message is lost and one director works: with a majority alive it must end. */
-  private Optional<String> endlessness(ModelState from) {
-    int deadVariants = serverCount > 2 ? serverCount : 0;
-    for (int dead = -1; dead < deadVariants; dead++) {
-      if (!new FairRun(from, dead).ends()) {
-        return Optional.of("no primary after " + FAIR_STEPS + " fair steps, dead server " + dead);
+  /**
+   * Checks that one director, without further message loss and with a majority of the servers
+   * running, establishes a primary.
+   */
+  private Optional<String> terminationFault(ModelState start) {
+    int failedServerCount = serverCount > 2 ? serverCount : 0;
+    for (int failedServer = -1; failedServer < failedServerCount; failedServer++) {
+      if (!new FaultFreeRun(start, failedServer).reachesPrimary()) {
+        return Optional.of(
+            "no primary after "
+                + MAX_FAULT_FREE_STEPS
+                + " fault-free steps, failed server "
+                + failedServer);
       }
     }
     return Optional.empty();
   }
 
-  /** A run without faults: state of servers is copied, messages are delivered at once. */
-  private final class FairRun {
+  /** A run without faults: the servers are copies, and messages are delivered immediately. */
+  private final class FaultFreeRun {
     private final ModelServer[] servers;
-    private final int dead;
+    private final int failedServer;
     private FailoverRecord record;
     private Attempt attempt;
 
-    FairRun(ModelState from, int dead) {
+    FaultFreeRun(ModelState start, int failedServer) {
       servers = new ModelServer[serverCount];
       for (int i = 0; i < serverCount; i++) {
-        servers[i] = from.servers[i].copy();
+        servers[i] = start.servers[i].copy();
       }
-      this.dead = dead;
-      this.record = from.record;
+      this.failedServer = failedServer;
+      this.record = start.record;
       this.attempt = Attempt.begin(record.term(), 0);
     }
 
-    boolean ends() {
-      for (int step = 0; step < FAIR_STEPS; step++) {
+    boolean reachesPrimary() {
+      for (int step = 0; step < MAX_FAULT_FREE_STEPS; step++) {
         if (attempt.term() != record.term()) {
           attempt = Attempt.begin(record.term(), 0);
         }
-        DirectorDecision decision = rules.decide(record, attempt, Set.copyOf(record.members()), 0);
+        DirectorDecision decision =
+            decisionFunction.decide(record, attempt, Set.copyOf(record.members()), 0);
         if (decision instanceof DirectorDecision.Propose propose) {
           record = record.apply(propose.step()).record();
         } else if (decision instanceof DirectorDecision.Regrant regrant) {
           record = record.apply(grant(record, regrant.term())).record();
         } else if (decision instanceof DirectorDecision.Fence fence) {
-          fence.servers().forEach(this::fenceOne);
+          fence.servers().forEach(this::fenceServer);
         } else if (decision instanceof DirectorDecision.Promote promote) {
-          if (!promoteOne(number(promote.server()))) {
+          if (!promoteServer(serverIndex(promote.server()))) {
             record = record.apply(grant(record, record.term() + 1)).record();
           }
-        } else if (working()) {
+        } else if (hasWorkingPrimary()) {
           return true;
         } else {
           record = record.apply(grant(record, record.term() + 1)).record();
@@ -289,21 +311,23 @@
       return false;
     }
 
-    private boolean working() {
-      int primary = number(record.previousPrimary().orElseThrow());
-      return primary != dead && servers[primary].primaryOf == record.term();
+    private boolean hasWorkingPrimary() {
+      int primary = serverIndex(record.previousPrimary().orElseThrow());
+      return primary != failedServer && servers[primary].primaryOf == record.term();
     }
 
-    private void fenceOne(ServerId member) {
-      int server = number(member);
-      if (server != dead) {
+    private void fenceServer(ServerId member) {
+      int server = serverIndex(member);
+      if (server != failedServer) {
         servers[server].fence((int) record.term());
-        attempt = attempt.withFenced(member, servers[server].fencedAt, servers[server].position());
+        attempt =
+            attempt.withFencedPosition(
+                member, servers[server].fencedAt, servers[server].position());
       }
     }
 
-    private boolean promoteOne(int server) {
-      if (server == dead || !servers[server].promote((int) record.term())) {
+    private boolean promoteServer(int server) {
+      if (server == failedServer || !servers[server].promote((int) record.term())) {
         return false;
       }
       attempt = attempt.withPromoted();
--- a/alderyard-control/src/test/java/org/alderyard/control/failover/FailoverModel.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/failover/FailoverModel.java
@@ -12,16 +12,16 @@
 import org.alderyard.common.id.ServerId;
 
 /**
- * Many groups under one control leader in model time: the real director, queue and back-off, with a
- * fixed cost for each effect. A server that is down gives no answer.
+ * Discrete-event simulation of many groups under one control leader, with the real director, queue
+ * and backoff and a fixed duration for each operation. A server that is down does not respond.
  */
 final class FailoverModel {
   private static final long STEP_MILLIS = 5;
 
-  /** What each effect takes, in milliseconds. */
-  record Costs(long log, long fence, long promote) {}
+  /** The duration of each operation, in milliseconds. */
+  record Durations(long log, long fence, long promote) {}
 
-  /** One group: its record in the control log, and what the leader knows of it. */
+  /** A group: its record in the control log and the attempt of the leader. */
   static final class Group {
     final ModelServer[] servers;
     final boolean[] down;
@@ -29,9 +29,9 @@
     Attempt attempt;
     long suspectedAtMillis = Long.MAX_VALUE;
     long publishedAtMillis = -1;
-    int grants;
-    boolean busy;
-    long dueMillis;
+    int grantCount;
+    boolean operationRunning;
+    long nextStepMillis;
 
     Group(int number) {
       servers = new ModelServer[3];
@@ -39,43 +39,43 @@
       List<ServerId> members = new ArrayList<>();
       for (int i = 0; i < 3; i++) {
         servers[i] = new ModelServer(1, i == 0 ? 1 : 0, i == 0 ? 0 : 1, new byte[] {1});
-        members.add(ModelState.server(i));
+        members.add(ModelState.serverId(i));
       }
       record =
           FailoverRecord.steady(
-              new GroupId("g" + number), 1, members, Optional.of(ModelState.server(0)));
+              new GroupId("g" + number), 1, members, Optional.of(ModelState.serverId(0)));
       attempt = Attempt.begin(1, 0);
     }
 
-    boolean working() {
-      int primary = ModelState.number(record.previousPrimary().orElseThrow());
+    boolean hasWorkingPrimary() {
+      int primary = ModelState.serverIndex(record.previousPrimary().orElseThrow());
       return record.phase() == FailoverPhase.STEADY
           && !down[primary]
           && servers[primary].primaryOf == record.term();
     }
   }
 
-  private record Event(long atMillis, long number, Runnable effect) {}
+  private record Event(long atMillis, long sequence, Runnable action) {}
 
   final Map<GroupId, Group> groups = new TreeMap<>();
   private final DirectorOptions options = DirectorOptions.DEFAULT;
   private final Director director = new Director(options);
   private final FlapBackoff backoff = new FlapBackoff(options);
-  private final FailoverQueue queue = new FailoverQueue(options.maxConcurrent());
+  private final FailoverQueue queue = new FailoverQueue(options.maxConcurrentFailovers());
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(
-          java.util.Comparator.comparingLong(Event::atMillis).thenComparingLong(Event::number));
+          java.util.Comparator.comparingLong(Event::atMillis).thenComparingLong(Event::sequence));
   private final SplittableRandom random;
-  private final Costs costs;
-  private long nextEvent;
-  private long leaderSinceMillis;
-  private long leaderLostAtMillis = Long.MAX_VALUE;
-  private long reign;
-  int mostConcurrent;
+  private final Durations durations;
+  private long nextEventSequence;
+  private long nextLeaderSinceMillis;
+  private long leaderFailsAtMillis = Long.MAX_VALUE;
+  private long leaderEpoch;
+  int peakConcurrent;
   long nowMillis;
 
-  FailoverModel(int groupCount, Costs costs, long seed) {
-    this.costs = costs;
+  FailoverModel(int groupCount, Durations durations, long seed) {
+    this.durations = durations;
     this.random = new SplittableRandom(seed);
     for (int i = 0; i < groupCount; i++) {
       Group group = new Group(i);
@@ -83,62 +83,65 @@
     }
   }
 
-  /** The leader dies at a time, and the next one works after the election. */
-  void loseLeader(long atMillis, long electionMillis) {
-    leaderLostAtMillis = atMillis;
-    leaderSinceMillis = atMillis + electionMillis;
+  /** Stops the leader at the given time; the next leader starts after the election. */
+  void failLeader(long atMillis, long electionMillis) {
+    leaderFailsAtMillis = atMillis;
+    nextLeaderSinceMillis = atMillis + electionMillis;
   }
 
-  void at(long atMillis, Runnable effect) {
-    events.add(new Event(atMillis, nextEvent++, effect));
+  void schedule(long atMillis, Runnable action) {
+    events.add(new Event(atMillis, nextEventSequence++, action));
   }
 
   void runUntil(long endMillis) {
     while (nowMillis < endMillis) {
       nowMillis += STEP_MILLIS;
       while (!events.isEmpty() && events.peek().atMillis <= nowMillis) {
-        events.poll().effect.run();
+        events.poll().action.run();
       }
-      if (nowMillis >= leaderLostAtMillis && reign == 0) {
-        forgetAll();
+      if (nowMillis >= leaderFailsAtMillis && leaderEpoch == 0) {
+        resetForNewLeader();
       }
-      if (nowMillis < leaderLostAtMillis || nowMillis >= leaderSinceMillis) {
-        startWaiting();
+      if (nowMillis < leaderFailsAtMillis || nowMillis >= nextLeaderSinceMillis) {
+        startPendingFailovers();
         groups.values().forEach(this::advance);
       }
     }
   }
 
-  /** A new leader knows the log alone; what was on its way to the old one is lost. */
-  private void forgetAll() {
-    reign++;
+  /**
+   * Resets the state that a new leader does not have: it reads only the log, and responses to the
+   * previous leader are lost.
+   */
+  private void resetForNewLeader() {
+    leaderEpoch++;
     for (Group group : groups.values()) {
-      group.busy = false;
-      group.attempt = Attempt.begin(group.record.term(), leaderSinceMillis);
-      group.dueMillis = leaderSinceMillis;
+      group.operationRunning = false;
+      group.attempt = Attempt.begin(group.record.term(), nextLeaderSinceMillis);
+      group.nextStepMillis = nextLeaderSinceMillis;
     }
   }
 
-  private void startWaiting() {
-    List<FailoverQueue.Waiting> waiting = new ArrayList<>();
+  private void startPendingFailovers() {
+    List<FailoverQueue.PendingFailover> pending = new ArrayList<>();
     int running = 0;
     for (Group group : groups.values()) {
       boolean steady = group.record.phase() == FailoverPhase.STEADY;
-      running += steady && !group.busy ? 0 : 1;
+      running += steady && !group.operationRunning ? 0 : 1;
       if (steady
-          && !group.busy
+          && !group.operationRunning
           && group.suspectedAtMillis <= nowMillis
           && backoff.waitMillis(group.record.grantedAtMillis(), nowMillis) == 0) {
-        waiting.add(
-            new FailoverQueue.Waiting(
+        pending.add(
+            new FailoverQueue.PendingFailover(
                 group.record, FailoverKind.FAILURE, group.suspectedAtMillis, 0));
       }
     }
-    for (FailoverQueue.Waiting next : queue.start(waiting, running)) {
+    for (FailoverQueue.PendingFailover next : queue.selectToStart(pending, running)) {
       running++;
       grant(groups.get(next.record().group()), next.record().term() + 1);
     }
-    mostConcurrent = Math.max(mostConcurrent, running);
+    peakConcurrent = Math.max(peakConcurrent, running);
   }
 
   private void grant(Group group, long term) {
@@ -151,9 +154,9 @@
   private void advance(Group group) {
     if (group.attempt.term() != group.record.term()) {
       group.attempt = Attempt.begin(group.record.term(), nowMillis);
-      group.dueMillis = nowMillis;
+      group.nextStepMillis = nowMillis;
     }
-    if (group.busy || nowMillis < group.dueMillis) {
+    if (group.operationRunning || nowMillis < group.nextStepMillis) {
       return;
     }
     DirectorDecision decision =
@@ -161,85 +164,90 @@
     if (decision instanceof DirectorDecision.Propose propose) {
       propose(group, propose.step());
     } else if (decision instanceof DirectorDecision.Fence fence) {
-      effect(group, costs.fence(), () -> fence.servers().forEach(one -> fence(group, one)));
+      runOperation(
+          group, durations.fence(), () -> fence.servers().forEach(member -> fence(group, member)));
     } else if (decision instanceof DirectorDecision.Promote promote) {
-      effect(group, costs.promote(), () -> promote(group, promote.server()));
+      runOperation(group, durations.promote(), () -> promote(group, promote.server()));
     } else if (decision instanceof DirectorDecision.Regrant regrant) {
       if (backoff.waitMillis(group.record.grantedAtMillis(), nowMillis) == 0) {
         grant(group, regrant.term());
       }
     } else if (decision instanceof DirectorDecision.RefuseNoQuorum refusal) {
-      group.dueMillis = nowMillis + refusal.retryAfterMillis();
-      group.attempt = group.attempt.restarted(group.dueMillis);
+      group.nextStepMillis = nowMillis + refusal.retryAfterMillis();
+      group.attempt = group.attempt.withStartTime(group.nextStepMillis);
     } else if (decision instanceof DirectorDecision.Follow follow) {
-      follow.servers().forEach(one -> follow(group, follow.primary(), one));
-      group.dueMillis = nowMillis + 100;
+      follow.servers().forEach(member -> follow(group, follow.primary(), member));
+      group.nextStepMillis = nowMillis + 100;
     }
   }
 
-  private void effect(Group group, long costMillis, Runnable effect) {
-    group.busy = true;
-    long mine = reign;
-    at(
-        nowMillis + costMillis,
+  private void runOperation(Group group, long durationMillis, Runnable action) {
+    group.operationRunning = true;
+    long epoch = leaderEpoch;
+    schedule(
+        nowMillis + durationMillis,
         () -> {
-          // The servers act on what was sent; only this leader's own memory may be gone.
-          effect.run();
-          if (mine == reign) {
-            group.busy = false;
+          // The servers execute the request even if the leader that sent it has been replaced.
+          action.run();
+          if (epoch == leaderEpoch) {
+            group.operationRunning = false;
           }
         });
   }
 
-  /** A step that is on its way when its leader dies is committed, or not, at random. */
+  /**
+   * Proposes a step; if the leader fails before the step is committed, the step is committed or
+   * lost at random.
+   */
   private void propose(Group group, FailoverStep step) {
-    group.busy = true;
-    long mine = reign;
-    at(
-        nowMillis + costs.log(),
+    group.operationRunning = true;
+    long epoch = leaderEpoch;
+    schedule(
+        nowMillis + durations.log(),
         () -> {
-          if (mine != reign && random.nextBoolean()) {
+          if (epoch != leaderEpoch && random.nextBoolean()) {
             return;
           }
           StepResult result = group.record.apply(step);
           group.record = result.record();
           if (result.accepted() && step instanceof FailoverStep.Grant) {
-            group.grants++;
+            group.grantCount++;
             group.suspectedAtMillis = Long.MAX_VALUE;
           }
           if (result.accepted() && step instanceof FailoverStep.Publish) {
             group.publishedAtMillis = nowMillis;
           }
-          if (mine == reign) {
-            group.busy = false;
+          if (epoch == leaderEpoch) {
+            group.operationRunning = false;
           }
         });
   }
 
   private static void fence(Group group, ServerId server) {
-    int number = ModelState.number(server);
-    ModelServer one = group.servers[number];
+    int index = ModelState.serverIndex(server);
+    ModelServer modelServer = group.servers[index];
     int term = (int) group.record.term();
-    if (!group.down[number]) {
-      one.fence(term);
-      group.attempt = group.attempt.withFenced(server, one.fencedAt, one.position());
+    if (!group.down[index]) {
+      modelServer.fence(term);
+      group.attempt =
+          group.attempt.withFencedPosition(server, modelServer.fencedAt, modelServer.position());
     }
   }
 
   private static void promote(Group group, ServerId server) {
-    int number = ModelState.number(server);
-    if (!group.down[number] && group.servers[number].promote((int) group.record.term())) {
+    int index = ModelState.serverIndex(server);
+    if (!group.down[index] && group.servers[index].promote((int) group.record.term())) {
       group.attempt = group.attempt.withPromoted();
     }
   }
 
   private static void follow(Group group, ServerId primary, ServerId server) {
-    int number = ModelState.number(server);
-    if (!group.down[number]) {
-      ModelServer one = group.servers[number];
-      byte[] log = group.servers[ModelState.number(primary)].entryTerms;
-      one.follow((int) group.record.term(), log);
-      group.attempt = group.attempt.withFollowing(server);
+    int index = ModelState.serverIndex(server);
+    if (!group.down[index]) {
+      ModelServer modelServer = group.servers[index];
+      byte[] log = group.servers[ModelState.serverIndex(primary)].entryTerms;
+      modelServer.follow((int) group.record.term(), log);
+      group.attempt = group.attempt.withFollower(server);
     }
   }
 }
--- a/alderyard-control/src/test/java/org/alderyard/control/failover/ModelServer.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/failover/ModelServer.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import org.alderyard.common.id.Position;
 
-/** A backend server of the exploration: what it promised, what it follows and its log. */
+/** A backend server of the exploration: the term at which it is fenced, its role and its log. */
 final class ModelServer {
   int fencedAt;
   int primaryOf;
@@ -26,7 +26,10 @@
     return index == 0 ? Position.NONE : new Position(entryTerms[index - 1], index);
   }
 
-  /** Refuses lower terms; a repeated fence at the term that it already has changes nothing. */
+  /**
+   * Fences the server at a term; refuses a lower term, and a repeated request for the present term
+   * has no effect.
+   */
   boolean fence(int term) {
     if (term < fencedAt) {
       return false;
@@ -47,7 +50,9 @@
     return true;
   }
 
-  /** Follows the primary of a term and drops what its log at that time does not have. */
+  /**
+   * Follows the primary of a term and truncates the log where it differs from the primary's log.
+   */
   void follow(int term, byte[] primaryLog) {
     if (term < fencedAt || primaryOf == term || followerOf == term) {
       return;
@@ -55,9 +60,9 @@
     fencedAt = term;
     primaryOf = 0;
     followerOf = term;
-    int differs = Arrays.mismatch(entryTerms, primaryLog);
-    if (differs >= 0) {
-      entryTerms = Arrays.copyOf(entryTerms, differs);
+    int mismatch = Arrays.mismatch(entryTerms, primaryLog);
+    if (mismatch >= 0) {
+      entryTerms = Arrays.copyOf(entryTerms, mismatch);
     }
   }
 
--- a/alderyard-control/src/test/java/org/alderyard/control/failover/ModelState.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/failover/ModelState.java
@@ -11,46 +11,46 @@
 import org.alderyard.common.id.ServerId;
 
 /**
- * One state of the exploration. What was sent stays in the state, so each message may arrive never,
- * late or many times.
+ * A state of the exploration. Sent messages stay in the state, so that each message may be lost,
+ * delayed or delivered repeatedly.
  */
 final class ModelState {
   static final GroupId GROUP = new GroupId("g");
 
   final ModelServer[] servers;
-  final FailoverRecord[] known = new FailoverRecord[2];
+  final FailoverRecord[] knownRecords = new FailoverRecord[2];
   final Attempt[] attempts = new Attempt[2];
-  final Position[][] fenceAnswers;
+  final Position[][] fenceResponses;
   final byte[][] termLogs;
-  final int[][] heldInTerm;
+  final int[][] logLengthInTerm;
   final int[] primaries;
   FailoverRecord record;
-  int fencesSent;
-  int promotesSent;
-  int followsSent;
+  int fenceTermsSent;
+  int promotionsSent;
+  int followTermsSent;
   int writes;
-  TreeSet<String> proposalKeys = new TreeSet<>();
-  List<FailoverStep> proposals = new ArrayList<>();
+  TreeSet<String> proposedStepKeys = new TreeSet<>();
+  List<FailoverStep> proposedSteps = new ArrayList<>();
 
-  /** The first primary leads term 1 and the others follow it. */
+  /** Creates the initial state: the first server is primary of term 1, and the others follow it. */
   ModelState(int serverCount, int maxTerm) {
     servers = new ModelServer[serverCount];
     for (int i = 0; i < serverCount; i++) {
       servers[i] = new ModelServer(1, i == 0 ? 1 : 0, i == 0 ? 0 : 1, new byte[0]);
     }
-    fenceAnswers = new Position[maxTerm + 1][serverCount];
+    fenceResponses = new Position[maxTerm + 1][serverCount];
     termLogs = new byte[maxTerm + 1][];
     termLogs[1] = new byte[0];
-    heldInTerm = new int[maxTerm + 1][serverCount];
+    logLengthInTerm = new int[maxTerm + 1][serverCount];
     primaries = new int[maxTerm + 1];
     primaries[1] = 1;
     List<ServerId> members = new ArrayList<>();
     for (int i = 0; i < serverCount; i++) {
-      members.add(server(i));
+      members.add(serverId(i));
     }
-    record = FailoverRecord.steady(GROUP, 1, members, Optional.of(server(0)));
+    record = FailoverRecord.steady(GROUP, 1, members, Optional.of(serverId(0)));
     for (int director = 0; director < 2; director++) {
-      read(director);
+      readRecord(director);
     }
   }
 
@@ -59,34 +59,34 @@
     for (int i = 0; i < servers.length; i++) {
       servers[i] = other.servers[i].copy();
     }
-    fenceAnswers = deep(other.fenceAnswers);
+    fenceResponses = deepCopy(other.fenceResponses);
     termLogs = other.termLogs.clone();
-    heldInTerm = deep(other.heldInTerm);
+    logLengthInTerm = deepCopy(other.logLengthInTerm);
     primaries = other.primaries.clone();
     record = other.record;
-    fencesSent = other.fencesSent;
-    promotesSent = other.promotesSent;
-    followsSent = other.followsSent;
+    fenceTermsSent = other.fenceTermsSent;
+    promotionsSent = other.promotionsSent;
+    followTermsSent = other.followTermsSent;
     writes = other.writes;
-    proposalKeys = new TreeSet<>(other.proposalKeys);
-    proposals = new ArrayList<>(other.proposals);
-    System.arraycopy(other.known, 0, known, 0, 2);
+    proposedStepKeys = new TreeSet<>(other.proposedStepKeys);
+    proposedSteps = new ArrayList<>(other.proposedSteps);
+    System.arraycopy(other.knownRecords, 0, knownRecords, 0, 2);
     System.arraycopy(other.attempts, 0, attempts, 0, 2);
   }
 
-  private static Position[][] deep(Position[][] from) {
-    return Arrays.stream(from).map(Position[]::clone).toArray(Position[][]::new);
+  private static Position[][] deepCopy(Position[][] source) {
+    return Arrays.stream(source).map(Position[]::clone).toArray(Position[][]::new);
   }
 
-  private static int[][] deep(int[][] from) {
-    return Arrays.stream(from).map(int[]::clone).toArray(int[][]::new);
+  private static int[][] deepCopy(int[][] source) {
+    return Arrays.stream(source).map(int[]::clone).toArray(int[][]::new);
   }
 
-  static ServerId server(int number) {
-    return new ServerId("s" + number);
+  static ServerId serverId(int index) {
+    return new ServerId("s" + index);
   }
 
-  static int number(ServerId server) {
+  static int serverIndex(ServerId server) {
     return server.value().charAt(1) - '0';
   }
 
@@ -94,50 +94,56 @@
     return new ModelState(this);
   }
 
-  /** A director starts anew, or refreshes what it knows of the log. */
-  void read(int director) {
-    if (known[director] != null && known[director].term() == record.term()) {
-      known[director] = record;
+  /**
+   * Lets a director read the record from the log; a director that reads a new term discards its
+   * attempt.
+   */
+  void readRecord(int director) {
+    if (knownRecords[director] != null && knownRecords[director].term() == record.term()) {
+      knownRecords[director] = record;
       return;
     }
     crash(director);
   }
 
   void crash(int director) {
-    known[director] = record;
+    knownRecords[director] = record;
     attempts[director] = Attempt.begin(record.term(), 0);
   }
 
-  boolean send(FailoverStep step) {
-    if (!proposalKeys.add(step.toString())) {
+  boolean addProposal(FailoverStep step) {
+    if (!proposedStepKeys.add(step.toString())) {
       return false;
     }
-    proposals.add(step);
+    proposedSteps.add(step);
     return true;
   }
 
   /**
-   * Drops what can have no effect any more, so that states which differ in it alone count once: a
-   * step that every later record refuses, a message that no server would act on, and the answers
-   * that a director of a past term holds, since all it can still propose is refused.
+   * Removes state that can have no further effect, so that states which differ only in it are
+   * visited once.
+   *
+   * <p>This applies to steps that every later record refuses, messages that no server would act on,
+   * and responses held by a director of a past term, as all its proposals are refused.
    */
   void normalize() {
-    if (proposals.removeIf(step -> !acceptableLater(step))) {
-      proposalKeys = new TreeSet<>(proposals.stream().map(FailoverStep::toString).toList());
+    if (proposedSteps.removeIf(step -> !mayBeAccepted(step))) {
+      proposedStepKeys = new TreeSet<>(proposedSteps.stream().map(FailoverStep::toString).toList());
     }
-    boolean open = record.phase() == FailoverPhase.GRANTED;
-    for (int term = 0; term < fenceAnswers.length; term++) {
-      if (term < record.term() || !open) {
-        Arrays.fill(fenceAnswers[term], null);
+    boolean granted = record.phase() == FailoverPhase.GRANTED;
+    for (int term = 0; term < fenceResponses.length; term++) {
+      if (term < record.term() || !granted) {
+        Arrays.fill(fenceResponses[term], null);
       }
       normalizeMessages(term);
     }
     for (int director = 0; director < 2; director++) {
-      boolean current =
-          known[director].term() == record.term() && known[director].phase() == record.phase();
-      if (!current || record.phase() == FailoverPhase.STEADY) {
-        attempts[director] = Attempt.begin(known[director].term(), 0);
-      } else if (!open) {
+      boolean upToDate =
+          knownRecords[director].term() == record.term()
+              && knownRecords[director].phase() == record.phase();
+      if (!upToDate || record.phase() == FailoverPhase.STEADY) {
+        attempts[director] = Attempt.begin(knownRecords[director].term(), 0);
+      } else if (!granted) {
         boolean promoted = attempts[director].promoted();
         attempts[director] = Attempt.begin(record.term(), 0);
         attempts[director] = promoted ? attempts[director].withPromoted() : attempts[director];
@@ -145,7 +151,7 @@
     }
   }
 
-  private boolean acceptableLater(FailoverStep step) {
+  private boolean mayBeAccepted(FailoverStep step) {
     if (step instanceof FailoverStep.Grant grant) {
       return grant.expectedTerm() >= record.term();
     }
@@ -159,21 +165,24 @@
 
   private void normalizeMessages(int term) {
     boolean allFenced = true;
-    boolean allSettled = true;
+    boolean allReachedTerm = true;
     for (int server = 0; server < servers.length; server++) {
-      ModelServer one = servers[server];
-      allFenced &= one.fencedAt >= term;
-      boolean settled = one.fencedAt > term || one.primaryOf == term || one.followerOf == term;
-      allSettled &= settled;
-      if (settled) {
-        promotesSent &= ~(1 << (term * 3 + server));
+      ModelServer modelServer = servers[server];
+      allFenced &= modelServer.fencedAt >= term;
+      boolean reachedTerm =
+          modelServer.fencedAt > term
+              || modelServer.primaryOf == term
+              || modelServer.followerOf == term;
+      allReachedTerm &= reachedTerm;
+      if (reachedTerm) {
+        promotionsSent &= ~(1 << (term * 3 + server));
       }
     }
     if (allFenced && (term < record.term() || record.phase() != FailoverPhase.GRANTED)) {
-      fencesSent &= ~(1 << term);
+      fenceTermsSent &= ~(1 << term);
     }
-    if (allSettled) {
-      followsSent &= ~(1 << term);
+    if (allReachedTerm) {
+      followTermsSent &= ~(1 << term);
     }
   }
 
@@ -181,24 +190,25 @@
     return Set.copyOf(record.members());
   }
 
-  /** Notes what a server holds in the term that it is in. */
-  void noteHeld(int server) {
-    ModelServer one = servers[server];
-    int term = Math.max(one.primaryOf, one.followerOf);
+  /** Records the log length of a server in the term of its role. */
+  void recordLogLength(int server) {
+    ModelServer modelServer = servers[server];
+    int term = Math.max(modelServer.primaryOf, modelServer.followerOf);
     if (term > 0) {
-      heldInTerm[term][server] = Math.max(heldInTerm[term][server], one.entryTerms.length);
+      logLengthInTerm[term][server] =
+          Math.max(logLengthInTerm[term][server], modelServer.entryTerms.length);
     }
   }
 
-  /** Returns the fault of this state, if it has one. */
+  /** Returns the fault of this state, or empty if it has none. */
   Optional<String> fault() {
     for (int term = 1; term < primaries.length; term++) {
       if (Integer.bitCount(primaries[term]) > 1) {
         return Optional.of("term " + term + " has two primaries");
       }
-      Optional<String> lost = lostWrite(term);
-      if (lost.isPresent()) {
-        return lost;
+      Optional<String> lostWrite = lostWrite(term);
+      if (lostWrite.isPresent()) {
+        return lostWrite;
       }
     }
     return Optional.empty();
@@ -210,10 +220,10 @@
       if (termLogs[term][index - 1] != term || !acknowledged(term, index)) {
         continue;
       }
-      for (int later = term + 1; later < termLogs.length; later++) {
-        byte[] log = termLogs[later];
+      for (int laterTerm = term + 1; laterTerm < termLogs.length; laterTerm++) {
+        byte[] log = termLogs[laterTerm];
         if (log != null && (log.length < index || log[index - 1] != term)) {
-          return Optional.of("write " + term + "/" + index + " is lost in term " + later);
+          return Optional.of("write " + term + "/" + index + " is lost in term " + laterTerm);
         }
       }
     }
@@ -221,35 +231,43 @@
   }
 
   private boolean acknowledged(int term, int index) {
-    long holders = Arrays.stream(heldInTerm[term]).filter(held -> held >= index).count();
-    return holders >= record.majority();
+    long holderCount =
+        Arrays.stream(logLengthInTerm[term]).filter(length -> length >= index).count();
+    return holderCount >= record.majority();
   }
 
-  /** Returns the state as text; the two directors are alike, so their order does not count. */
+  /**
+   * Encodes the state as text. The order of the two directors is normalized, as they are
+   * interchangeable.
+   */
   String encode() {
     StringBuilder out = new StringBuilder();
     for (ModelServer server : servers) {
       server.encode(out);
     }
     encodeRecord(out, record);
-    out.append((char) fencesSent).append((char) promotesSent).append((char) followsSent);
+    out.append((char) fenceTermsSent).append((char) promotionsSent).append((char) followTermsSent);
     for (int term = 1; term < termLogs.length; term++) {
       encodeTerm(out, term);
     }
-    proposalKeys.forEach(
+    proposedStepKeys.forEach(
         key -> out.append((char) key.hashCode()).append((char) (key.hashCode() >>> 16)));
-    String first = encodeDirector(0);
-    String second = encodeDirector(1);
-    out.append(first.compareTo(second) <= 0 ? first + second : second + first);
+    String firstDirector = encodeDirector(0);
+    String secondDirector = encodeDirector(1);
+    out.append(
+        firstDirector.compareTo(secondDirector) <= 0
+            ? firstDirector + secondDirector
+            : secondDirector + firstDirector);
     return out.toString();
   }
 
   private void encodeTerm(StringBuilder out, int term) {
     out.append((char) primaries[term]);
     for (int server = 0; server < servers.length; server++) {
-      Position answer = fenceAnswers[term][server];
-      int answered = answer == null ? 0 : 1 + (int) (8 * answer.term() + answer.index());
-      out.append((char) (answered + 64 * heldInTerm[term][server]));
+      Position response = fenceResponses[term][server];
+      int encodedPosition =
+          response == null ? 0 : 1 + (int) (8 * response.term() + response.index());
+      out.append((char) (encodedPosition + 64 * logLengthInTerm[term][server]));
     }
     if (termLogs[term] != null) {
       for (byte entry : termLogs[term]) {
@@ -261,17 +279,18 @@
 
   private static void encodeRecord(StringBuilder out, FailoverRecord record) {
     out.append((char) record.term()).append((char) record.phase().ordinal());
-    out.append(record.choice().map(Choice::server).map(ServerId::value).orElse("-"));
-    out.append(record.choice().map(choice -> choice.held().toString()).orElse("-"));
+    out.append(record.candidate().map(Candidate::server).map(ServerId::value).orElse("-"));
+    out.append(
+        record.candidate().map(candidate -> candidate.lastPosition().toString()).orElse("-"));
   }
 
   private String encodeDirector(int director) {
     StringBuilder out = new StringBuilder();
-    encodeRecord(out, known[director]);
+    encodeRecord(out, knownRecords[director]);
     Attempt attempt = attempts[director];
     out.append(attempt.promoted() ? '+' : '-');
     for (ServerId member : record.members()) {
-      Position position = attempt.fenced().get(member);
+      Position position = attempt.fencedPositions().get(member);
       out.append(position == null ? '-' : (char) (8 * position.term() + position.index()));
     }
     return out.toString();
