--- a/alderyard-control/src/main/java/org/alderyard/control/promotion/PrimaryPromoter.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/promotion/PrimaryPromoter.java
@@ -5,16 +5,18 @@
 import org.alderyard.common.id.HostId;
 import org.alderyard.common.id.ServerId;
 
-/** The service that appoints primaries. */
+/** A client of the external service that appoints primaries. */
 @FunctionalInterface
 public interface PrimaryPromoter {
 
   /**
-   * Asks for a new primary.
+   * Requests the appointment of a new primary.
    *
-   * @param holder the host that decides on the group now
-   * @param fencingToken grows with each decision; the service refuses one that it has seen passed
-   * @return never fails; a call without an answer may still be carried out later
+   * @param holder the host that decides the failovers of the group, that is, the control leader
+   * @param fencingToken increases with each decision; the service refuses a token lower than the
+   *     highest that it has received
+   * @return a future that never completes exceptionally; a call without a response may still be
+   *     executed later
    */
   CompletableFuture<PromotionAnswer> promote(
       GroupId group, ServerId server, HostId holder, long fencingToken);
--- a/alderyard-control/src/main/java/org/alderyard/control/promotion/PromotionAnswer.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/promotion/PromotionAnswer.java
@@ -1,13 +1,13 @@
 package org.alderyard.control.promotion;
 
-/** What the service answered. */
+/** The response of the appointing service. */
 public enum PromotionAnswer {
-  /** The server will lead, or leads already. */
+  /** The server becomes primary, or is primary already. */
   ACCEPTED,
-  /** The token was passed, or the server does not run. */
+  /** The service has received a higher token, or the server is not running. */
   REFUSED,
-  /** Too many calls; this one was not carried out. */
+  /** The service received too many calls; this call was not executed. */
   THROTTLED,
-  /** No clear answer: the call may be carried out, now or later. */
+  /** No definite response was received: the call may be executed now or later. */
   UNKNOWN
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/promotion/PromotionService.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/promotion/PromotionService.java
@@ -39,33 +39,35 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Replaces lost and leaving primaries while this host leads the control log.
+ * Replaces unresponsive and leaving primaries while this host is the leader of the control log.
  *
- * <p>Every attempt gets a token of its own from the log, so two leaders never use the same one, and
- * a call of an earlier attempt that is carried out late is refused by the service. After a call
- * without an answer the same call is repeated: whether the first one was carried out or not, the
- * result is the same. Lock: {@code lock}, a leaf; calls are made after it is released.
+ * <p>Each attempt gets its own fencing token from the log. Two leaders therefore never use the same
+ * token, and the service refuses a late call of an earlier attempt. A call without a response is
+ * repeated with the same arguments, so that the result is the same whether or not the first call
+ * was executed.
+ *
+ * <p>Locking: {@code lock} is a leaf lock; calls are made after it is released.
  */
 public final class PromotionService {
   private static final Logger log = LoggerFactory.getLogger(PromotionService.class);
 
-  /** The pace at which groups are looked at; a twentieth of the shortest failover. */
-  private static final Duration TICK = Duration.ofMillis(50);
+  /** The interval between checks of the groups, a twentieth of the shortest failover. */
+  private static final Duration CHECK_INTERVAL = Duration.ofMillis(50);
 
-  /** A server that does not say what it holds in this time is not chosen. */
+  /** The time within which a replica must report its position to be a candidate. */
   private static final Duration PROBE_TIMEOUT = Duration.ofMillis(350);
 
-  /** The pause before a call that was throttled or got no answer is repeated. */
-  private static final Duration REPEAT_PAUSE = Duration.ofMillis(150);
+  /** The delay before a call that was throttled or got no response is repeated. */
+  private static final Duration CALL_RETRY_DELAY = Duration.ofMillis(150);
 
-  /** After so many calls without an answer the choice is made anew. */
+  /** The number of calls without a definite response after which a candidate is chosen again. */
   private static final int MAX_CALLS = 6;
 
-  /** How long an appointed server may take until it says that it leads. */
-  private static final long SETTLE_NANOS = TimeUnit.MILLISECONDS.toNanos(3_000);
+  /** The time that an appointed server may take until it reports that it is primary. */
+  private static final long APPOINTMENT_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(3_000);
 
-  /** The pause after an attempt that failed. */
-  private static final long RETRY_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
+  /** The delay before the next attempt after a failed one. */
+  private static final long RETRY_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
   private final ControlLog controlLog;
   private final HostId self;
@@ -77,9 +79,9 @@
   private final Object lock = new Object();
   // Guarded by lock.
   private final SightingTable sightings = new SightingTable();
-  private final Map<GroupId, Long> quietUntilNanos = new HashMap<>();
+  private final Map<GroupId, Long> nextAttemptNanos = new HashMap<>();
 
-  /** Creates a service that does nothing until {@link #start()}. */
+  /** Creates a service that is idle until {@link #start()}. */
   public PromotionService(
       ControlLog controlLog,
       HostId self,
@@ -97,74 +99,75 @@
     this.clock = clock;
   }
 
-  /** Adds the method of this service. */
+  /** Registers the method of this service with a dispatcher. */
   public void serve(Dispatcher dispatcher) {
-    dispatcher.serve(ControlMethods.REPORT_PRIMARIES, (peer, request) -> report(request));
+    dispatcher.serve(ControlMethods.REPORT_PRIMARIES, (peer, request) -> handleReport(request));
   }
 
-  /** Starts to look at the groups. */
+  /** Starts the periodic check of all groups. */
   public void start() {
-    workers.scheduleRepeatedly(TICK, this::tick);
+    workers.scheduleRepeatedly(CHECK_INTERVAL, this::checkGroups);
   }
 
-  private CompletableFuture<ReportPrimariesReply> report(ReportPrimariesRequest request) {
+  private CompletableFuture<ReportPrimariesReply> handleReport(ReportPrimariesRequest request) {
     if (!controlLog.leading()) {
       return CompletableFuture.failedFuture(
-          AlderyardException.notRun(ErrorCode.NOT_LEADER, "this host does not lead"));
+          AlderyardException.notRun(ErrorCode.NOT_LEADER, "this control host is not the leader"));
     }
     HostId host = new HostId(request.getHost());
-    long now = clock.nowNanos();
+    long nowNanos = clock.nowNanos();
     synchronized (lock) {
       for (PrimarySighting sighting : request.getSightingsList()) {
-        sightings.report(
+        sightings.add(
             host,
             new GroupId(sighting.getGroup()),
             new ServerId(sighting.getServer()),
             sighting.getSilentMillis(),
-            now);
+            nowNanos);
       }
     }
     return CompletableFuture.completedFuture(ReportPrimariesReply.getDefaultInstance());
   }
 
-  private void tick() {
+  private void checkGroups() {
     if (!controlLog.leading()) {
       return;
     }
     View view = views.get();
-    long now = clock.nowNanos();
-    List<Runnable> begun = new ArrayList<>();
+    long nowNanos = clock.nowNanos();
+    List<Runnable> failoversToStart = new ArrayList<>();
     synchronized (lock) {
-      sightings.prune(now);
+      sightings.removeExpired(nowNanos);
       for (GroupState group : view.groups().values()) {
-        Optional<String> reason = reason(view, group, now);
-        if (reason.isEmpty() || quietUntilNanos.getOrDefault(group.id(), now) - now > 0) {
+        Optional<String> reason = failoverReason(view, group, nowNanos);
+        if (reason.isEmpty()
+            || nextAttemptNanos.getOrDefault(group.id(), nowNanos) - nowNanos > 0) {
           continue;
         }
-        quietUntilNanos.put(group.id(), now + SETTLE_NANOS);
-        begun.add(() -> begin(view, group, reason.get()));
+        nextAttemptNanos.put(group.id(), nowNanos + APPOINTMENT_TIMEOUT_NANOS);
+        failoversToStart.add(() -> startFailover(view, group, reason.get()));
       }
     }
-    begun.forEach(Runnable::run);
+    failoversToStart.forEach(Runnable::run);
   }
 
-  private Optional<String> reason(View view, GroupState group, long now) {
+  private Optional<String> failoverReason(View view, GroupState group, long nowNanos) {
     if (group.primary().isEmpty()) {
       return Optional.empty();
     }
     ServerId primary = group.primary().get();
     Optional<ServerStatus> status = view.server(primary).map(ServerState::status);
-    boolean leaves =
+    boolean primaryLeaving =
         status.isEmpty()
             || status.get() == ServerStatus.LEAVING
             || status.get() == ServerStatus.GONE;
-    if (leaves) {
+    if (primaryLeaving) {
       return Optional.of("leaving");
     }
-    return sightings.lost(group.id(), primary, now) ? Optional.of("lost") : Optional.empty();
+    return sightings.isLost(group.id(), primary, nowNanos) ? Optional.of("lost") : Optional.empty();
   }
 
-  private void begin(View view, GroupState group, String reason) {
+  private void startFailover(View view, GroupState group, String reason) {
     long startNanos = clock.nowNanos();
     log.info(
         "event=failover-begin group={} primary={} reason={} term={}",
@@ -180,28 +183,28 @@
                     server.status() == ServerStatus.ACTIVE
                         || server.status() == ServerStatus.EXPIRED)
             .toList();
-    List<CompletableFuture<Optional<Candidate>>> answers =
-        replicas.stream().map(this::inspect).toList();
-    CompletableFuture.allOf(answers.toArray(CompletableFuture[]::new))
+    List<CompletableFuture<Optional<Candidate>>> probes =
+        replicas.stream().map(this::probeReplica).toList();
+    CompletableFuture.allOf(probes.toArray(CompletableFuture[]::new))
         .thenAccept(
-            done ->
-                choose(
+            ignored ->
+                chooseCandidate(
                     group,
                     startNanos,
-                    answers.stream()
+                    probes.stream()
                         .map(CompletableFuture::join)
                         .flatMap(Optional::stream)
                         .toList()))
         .exceptionally(
             failure -> {
-              failed(group.id(), "choice", Futures.unwrap(failure));
+              recordFailedAttempt(group.id(), "choice", Futures.unwrap(failure));
               return null;
             });
   }
 
   private record Candidate(ServerState server, ServerStanding standing) {}
 
-  private CompletableFuture<Optional<Candidate>> inspect(ServerState server) {
+  private CompletableFuture<Optional<Candidate>> probeReplica(ServerState server) {
     return probe
         .ask(server, PROBE_TIMEOUT)
         .handle(
@@ -225,18 +228,21 @@
             });
   }
 
-  /** The log that is longest loses least; of equal ones that which has applied most. */
-  private void choose(GroupState group, long startNanos, List<Candidate> candidates) {
-    Optional<Candidate> best =
+  /**
+   * Chooses the replica with the highest received position, as it loses the fewest writes; among
+   * equal positions the one with the smallest lag is preferred.
+   */
+  private void chooseCandidate(GroupState group, long startNanos, List<Candidate> candidates) {
+    Optional<Candidate> bestCandidate =
         candidates.stream()
             .max(
                 Comparator.comparing((Candidate candidate) -> candidate.standing().received())
                     .thenComparing(candidate -> -candidate.standing().lagMillis()));
-    if (best.isEmpty()) {
-      failed(group.id(), "no-candidate", null);
+    if (bestCandidate.isEmpty()) {
+      recordFailedAttempt(group.id(), "no-candidate", null);
       return;
     }
-    ServerId chosen = best.get().server().id();
+    ServerId chosen = bestCandidate.get().server().id();
     controlLog
         .propose(
             Command.newBuilder()
@@ -247,24 +253,25 @@
                         .setHolder(self.value()))
                 .build()
                 .toByteString())
-        .thenApply(PromotionService::token)
-        .thenAccept(token -> call(group.id(), chosen, token, startNanos, 1))
+        .thenApply(PromotionService::parseToken)
+        .thenAccept(token -> callPromoter(group.id(), chosen, token, startNanos, 1))
         .exceptionally(
             failure -> {
-              failed(group.id(), "no-token", Futures.unwrap(failure));
+              recordFailedAttempt(group.id(), "no-token", Futures.unwrap(failure));
               return null;
             });
   }
 
-  private static long token(ByteString answer) {
+  private static long parseToken(ByteString reply) {
     try {
-      return PromotionIntentReply.parseFrom(answer).getFencingToken();
-    } catch (InvalidProtocolBufferException damaged) {
-      throw AlderyardException.notRun(ErrorCode.INTERNAL, "the token can't be read");
+      return PromotionIntentReply.parseFrom(reply).getFencingToken();
+    } catch (InvalidProtocolBufferException malformed) {
+      throw AlderyardException.notRun(ErrorCode.INTERNAL, "failed to parse the fencing token");
     }
   }
 
-  private void call(GroupId group, ServerId server, long token, long startNanos, int number) {
+  private void callPromoter(
+      GroupId group, ServerId server, long token, long startNanos, int callNumber) {
     promoter
         .promote(group, server, self, token)
         .thenAccept(
@@ -275,39 +282,41 @@
                   group,
                   server,
                   token,
-                  number,
+                  callNumber,
                   answer,
                   TimeUnit.NANOSECONDS.toMillis(clock.nowNanos() - startNanos));
               switch (answer) {
-                case ACCEPTED -> settle(group);
-                case REFUSED -> failed(group, "refused", null);
-                default -> repeat(group, server, token, startNanos, number);
+                case ACCEPTED -> awaitAppointment(group);
+                case REFUSED -> recordFailedAttempt(group, "refused", null);
+                default -> retryCall(group, server, token, startNanos, callNumber);
               }
             });
   }
 
-  private void repeat(GroupId group, ServerId server, long token, long startNanos, int number) {
-    if (number >= MAX_CALLS || !controlLog.leading()) {
-      failed(group, "no-answer", null);
+  private void retryCall(
+      GroupId group, ServerId server, long token, long startNanos, int callNumber) {
+    if (callNumber >= MAX_CALLS || !controlLog.leading()) {
+      recordFailedAttempt(group, "no-answer", null);
       return;
     }
-    workers.schedule(REPEAT_PAUSE, () -> call(group, server, token, startNanos, number + 1));
+    workers.schedule(
+        CALL_RETRY_DELAY, () -> callPromoter(group, server, token, startNanos, callNumber + 1));
   }
 
-  private void settle(GroupId group) {
+  private void awaitAppointment(GroupId group) {
     synchronized (lock) {
-      quietUntilNanos.put(group, clock.nowNanos() + SETTLE_NANOS);
+      nextAttemptNanos.put(group, clock.nowNanos() + APPOINTMENT_TIMEOUT_NANOS);
     }
   }
 
-  private void failed(GroupId group, String reason, Throwable cause) {
+  private void recordFailedAttempt(GroupId group, String reason, Throwable cause) {
     log.warn(
         "event=failover-attempt-failed group={} reason={} cause=\"{}\"",
         group,
         reason,
         cause == null ? "" : cause.toString());
     synchronized (lock) {
-      quietUntilNanos.put(group, clock.nowNanos() + RETRY_NANOS);
+      nextAttemptNanos.put(group, clock.nowNanos() + RETRY_DELAY_NANOS);
     }
   }
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/promotion/SightingTable.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/promotion/SightingTable.java
@@ -8,57 +8,65 @@
 import org.alderyard.common.id.ServerId;
 
 /**
- * What the hosts see of one another's primaries, and whether a primary is lost by their majority.
+ * Holds the sightings of primaries, which are the hosts' reports on whether their primaries
+ * respond, and decides by majority whether a primary is lost.
  *
- * <p>Guards against a failover for a primary that only some hosts can't reach, that is slow, or
- * whose health probe lies: only answers to work count, a slow server still answers a begin, and
- * more hosts must miss it than have an answer. Pure; not safe for several threads.
+ * <p>Prevents a failover for a primary that only some hosts cannot reach, that is slow, or whose
+ * health probe is wrong: only responses to requests count, a slow server still responds to a begin,
+ * and more hosts must have lost the primary than receive responses from it.
+ *
+ * <p>Not thread-safe; performs no I/O and reads no clock.
  */
 final class SightingTable {
-  /** A host reports about every second while all is well; older words are no longer its own. */
-  private static final long FRESH_NANOS = TimeUnit.MILLISECONDS.toNanos(2_500);
+  /** The age up to which a sighting counts; in steady state a host reports about every second. */
+  private static final long MAX_AGE_NANOS = TimeUnit.MILLISECONDS.toNanos(2_500);
 
   /**
-   * The silence after which a host counts as missing its primary. Begins are answered within some
-   * ms; a pause of a host or server of half a second must not cost a promotion.
+   * The time without a response after which a host counts a primary as lost. Begins are answered
+   * within a few ms; a pause of half a second on a host or server must not cause a promotion.
    */
-  static final int SILENT_MILLIS = 600;
+  static final int UNRESPONSIVE_MILLIS = 600;
 
-  private record Sighting(ServerId server, int silentMillis, long atNanos) {}
+  private record Sighting(ServerId server, int unresponsiveMillis, long reportedAtNanos) {}
 
   private final Map<GroupId, Map<HostId, Sighting>> sightings = new HashMap<>();
 
-  /** Takes a host's word. */
-  void report(HostId host, GroupId group, ServerId server, int silentMillis, long nowNanos) {
+  /** Replaces the sighting of a host about the primary of a group. */
+  void add(HostId host, GroupId group, ServerId server, int unresponsiveMillis, long nowNanos) {
     sightings
         .computeIfAbsent(group, id -> new HashMap<>())
-        .put(host, new Sighting(server, silentMillis, nowNanos));
+        .put(host, new Sighting(server, unresponsiveMillis, nowNanos));
   }
 
-  /** Returns whether more hosts miss this primary than have answers from it. */
-  boolean lost(GroupId group, ServerId primary, long nowNanos) {
-    int missing = 0;
-    int answered = 0;
+  /** Returns whether more hosts have lost this primary than receive responses from it. */
+  boolean isLost(GroupId group, ServerId primary, long nowNanos) {
+    int lostCount = 0;
+    int respondingCount = 0;
     for (Sighting sighting : sightings.getOrDefault(group, Map.of()).values()) {
-      boolean counts =
-          sighting.server().equals(primary) && nowNanos - sighting.atNanos() <= FRESH_NANOS;
-      if (!counts) {
+      boolean isCurrent =
+          sighting.server().equals(primary)
+              && nowNanos - sighting.reportedAtNanos() <= MAX_AGE_NANOS;
+      if (!isCurrent) {
         continue;
       }
-      if (sighting.silentMillis() == 0) {
-        answered++;
-      } else if (sighting.silentMillis() >= SILENT_MILLIS) {
-        missing++;
+      if (sighting.unresponsiveMillis() == 0) {
+        respondingCount++;
+      } else if (sighting.unresponsiveMillis() >= UNRESPONSIVE_MILLIS) {
+        lostCount++;
       }
     }
-    return missing > answered;
+    return lostCount > respondingCount;
   }
 
-  /** Forgets words that no longer count. */
-  void prune(long nowNanos) {
+  /** Removes sightings that no longer count. */
+  void removeExpired(long nowNanos) {
     sightings
         .values()
-        .forEach(words -> words.values().removeIf(word -> nowNanos - word.atNanos() > FRESH_NANOS));
+        .forEach(
+            byHost ->
+                byHost
+                    .values()
+                    .removeIf(sighting -> nowNanos - sighting.reportedAtNanos() > MAX_AGE_NANOS));
     sightings.values().removeIf(Map::isEmpty);
   }
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/promotion/package-info.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/promotion/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Failover of groups whose primaries are appointed by a service outside.
+ * Failover of groups whose primaries are appointed by an external service.
  *
- * <p>Hosts tell the control leader what they see of the primaries that they work with; the leader
- * decides by their majority, chooses the replica whose log is longest, and asks the service to
- * appoint it under a fencing token from the control log.
+ * <p>Hosts report to the control leader whether the primaries that they use respond. The leader
+ * decides by a majority of these reports, chooses the replica with the highest received position,
+ * and requests its appointment with a fencing token from the control log.
  */
 package org.alderyard.control.promotion;
--- a/alderyard-control/src/test/java/org/alderyard/control/promotion/PromotionServiceTest.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/promotion/PromotionServiceTest.java
@@ -34,7 +34,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Failovers through the appointing service, with its answers scripted. */
+/** Tests failovers through an appointing service with scripted responses. */
 class PromotionServiceTest {
   private static final GroupId GROUP = new GroupId("g1");
 
@@ -42,7 +42,8 @@
 
   private final WorkerPool workers = new WorkerPool("test", 2);
   private final List<Call> calls = Collections.synchronizedList(new ArrayList<>());
-  private final List<PromotionAnswer> answers = Collections.synchronizedList(new ArrayList<>());
+  private final List<PromotionAnswer> scriptedAnswers =
+      Collections.synchronizedList(new ArrayList<>());
   private final Map<String, ServerStanding> standings = new HashMap<>();
   private volatile ServerStatus primaryStatus = ServerStatus.ACTIVE;
 
@@ -74,10 +75,10 @@
     return editor.at(new ViewVersion(1, 1));
   }
 
-  private void start() {
+  private void startService() {
     PromotionService service =
         new PromotionService(
-            new LeadingLog(),
+            new LeaderLog(),
             new HostId("h1"),
             this::view,
             (server, timeout) ->
@@ -90,68 +91,68 @@
             (group, server, holder, token) -> {
               calls.add(new Call(server.value(), token));
               return CompletableFuture.completedFuture(
-                  answers.isEmpty() ? PromotionAnswer.ACCEPTED : answers.remove(0));
+                  scriptedAnswers.isEmpty() ? PromotionAnswer.ACCEPTED : scriptedAnswers.remove(0));
             },
             workers,
             MonotonicClock.system());
     service.start();
   }
 
-  private static void eventually(BooleanSupplier condition) throws InterruptedException {
-    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
+  private static void awaitTrue(BooleanSupplier condition) throws InterruptedException {
+    long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
     while (!condition.getAsBoolean()) {
-      assertThat(System.nanoTime()).isLessThan(end);
+      assertThat(System.nanoTime()).isLessThan(deadlineNanos);
       TimeUnit.MILLISECONDS.sleep(5);
     }
   }
 
   @Test
-  void longestLogIsChosen() throws Exception {
+  void replicaWithHighestPositionIsChosen() throws Exception {
     standings.put("s2", standing(10, 0));
     standings.put("s3", standing(12, 500));
     primaryStatus = ServerStatus.LEAVING;
-    start();
+    startService();
 
-    eventually(() -> !calls.isEmpty());
+    awaitTrue(() -> !calls.isEmpty());
     assertThat(calls.get(0).server()).isEqualTo("s3");
   }
 
   @Test
-  void callWithoutAnswerIsRepeatedWithTheSameToken() throws Exception {
-    // The service carries a call out, but its answer is lost. A new token for another server would
-    // appoint a second primary seconds after the first.
+  void callWithoutResponseIsRepeatedWithSameToken() throws Exception {
+    // Guards against two primaries: the service executes a call, but its response is lost. A new
+    // token for another server would appoint a second primary seconds after the first.
     standings.put("s2", standing(10, 0));
-    answers.add(PromotionAnswer.UNKNOWN);
-    answers.add(PromotionAnswer.THROTTLED);
+    scriptedAnswers.add(PromotionAnswer.UNKNOWN);
+    scriptedAnswers.add(PromotionAnswer.THROTTLED);
     primaryStatus = ServerStatus.GONE;
-    start();
+    startService();
 
-    eventually(() -> calls.size() >= 3);
+    awaitTrue(() -> calls.size() >= 3);
     assertThat(calls.subList(0, 3).stream().distinct().toList()).hasSize(1);
   }
 
   @Test
   void refusedCallIsNotRepeatedWithItsToken() throws Exception {
     standings.put("s2", standing(10, 0));
-    answers.add(PromotionAnswer.REFUSED);
+    scriptedAnswers.add(PromotionAnswer.REFUSED);
     primaryStatus = ServerStatus.LEAVING;
-    start();
+    startService();
 
-    eventually(() -> calls.size() >= 2);
+    awaitTrue(() -> calls.size() >= 2);
     assertThat(calls.get(1).token()).isGreaterThan(calls.get(0).token());
   }
 
   @Test
-  void primaryThatServesIsLeftAlone() throws Exception {
+  void activePrimaryIsNotReplaced() throws Exception {
     standings.put("s2", standing(10, 0));
-    start();
+    startService();
 
     TimeUnit.MILLISECONDS.sleep(300);
     assertThat(calls).isEmpty();
   }
 
-  /** A log whose entries are committed at once. */
-  private static final class LeadingLog implements ControlLog {
+  /** A log that commits each entry immediately. */
+  private static final class LeaderLog implements ControlLog {
     private final AtomicLong index = new AtomicLong();
 
     @Override
--- a/alderyard-control/src/test/java/org/alderyard/control/promotion/SightingTableTest.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/promotion/SightingTableTest.java
@@ -8,54 +8,54 @@
 import org.alderyard.common.id.ServerId;
 import org.junit.jupiter.api.Test;
 
-/** When a primary counts as lost. */
+/** Tests when a primary counts as lost. */
 class SightingTableTest {
   private static final GroupId GROUP = new GroupId("g1");
   private static final ServerId PRIMARY = new ServerId("s1");
 
-  private final SightingTable table = new SightingTable();
+  private final SightingTable sightings = new SightingTable();
 
-  private void report(String host, int silentMillis) {
-    table.report(new HostId(host), GROUP, PRIMARY, silentMillis, 0);
+  private void report(String host, int unresponsiveMillis) {
+    sightings.add(new HostId(host), GROUP, PRIMARY, unresponsiveMillis, 0);
   }
 
-  private boolean lost() {
-    return table.lost(GROUP, PRIMARY, 0);
+  private boolean isLost() {
+    return sightings.isLost(GROUP, PRIMARY, 0);
   }
 
   @Test
-  void primaryThatMostHostsMissIsLost() {
+  void primaryUnresponsiveToMostHostsIsLost() {
     report("h1", 900);
     report("h2", 900);
     report("h3", 0);
 
-    assertThat(lost()).isTrue();
+    assertThat(isLost()).isTrue();
   }
 
   @Test
-  void primaryThatOnlySomeHostsCannotReachStays() {
-    // Some hosts are cut off from a primary that serves all others. A promotion would stop the
-    // writes of everyone for the time of an appointment, and lose what replicas lack.
+  void primaryThatOnlySomeHostsCannotReachIsNotLost() {
+    // Guards against a promotion because some hosts cannot reach a primary that serves all others.
+    // It would stop all writes until the appointment and lose writes that the replicas lack.
     report("h1", 900);
     report("h2", 0);
     report("h3", 0);
 
-    assertThat(lost()).isFalse();
+    assertThat(isLost()).isFalse();
   }
 
   @Test
-  void shortSilenceIsNoLoss() {
-    report("h1", SightingTable.SILENT_MILLIS - 1);
+  void brieflyUnresponsivePrimaryIsNotLost() {
+    report("h1", SightingTable.UNRESPONSIVE_MILLIS - 1);
 
-    assertThat(lost()).isFalse();
+    assertThat(isLost()).isFalse();
   }
 
   @Test
-  void wordsThatAreOldOrAboutAnotherServerDoNotCount() {
+  void sightingsThatAreOldOrOfAnotherServerDoNotCount() {
     report("h1", 5_000);
     long later = TimeUnit.SECONDS.toNanos(10);
 
-    assertThat(table.lost(GROUP, PRIMARY, later)).isFalse();
-    assertThat(table.lost(GROUP, new ServerId("s2"), 0)).isFalse();
+    assertThat(sightings.isLost(GROUP, PRIMARY, later)).isFalse();
+    assertThat(sightings.isLost(GROUP, new ServerId("s2"), 0)).isFalse();
   }
 }
