--- a/alderyard-control/src/main/java/org/alderyard/control/grant/GrantAllocation.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/grant/GrantAllocation.java
@@ -7,23 +7,25 @@
 import java.util.TreeMap;
 
 /**
- * Shares a server's connections among proxies: a floor for each, the rest by demand. Pure.
+ * Divides a server's connections among proxies: a floor for each proxy, the rest in proportion to
+ * demand.
  *
- * <p>When there are more proxies than floors, those that want most get one and the others none;
- * they pass their statements on to a proxy that has one.
+ * <p>If there are more proxies than connections, the proxies with the highest demand get one each.
+ * The other proxies get none and forward their statements to a proxy that holds a connection. The
+ * class is stateless.
  */
 public final class GrantAllocation {
 
   private GrantAllocation() {}
 
   /**
-   * Returns the share of each proxy.
+   * Returns the number of connections allocated to each proxy.
    *
-   * @param available the connections to share
-   * @param floor the connections that each proxy gets before demand counts
-   * @param wanted the connections that each proxy could use
+   * @param available the connections to divide
+   * @param floor the connections allocated to each proxy before the rest is divided by demand
+   * @param wanted the connections that each proxy has demand for; an upper bound of its allocation
    */
-  public static SortedMap<ProxyId, Integer> share(
+  public static SortedMap<ProxyId, Integer> allocate(
       int available, int floor, Map<ProxyId, Integer> wanted) {
     SortedMap<ProxyId, Integer> shares = new TreeMap<>();
     wanted.keySet().forEach(proxy -> shares.put(proxy, 0));
@@ -34,51 +36,53 @@
                     .reversed()
                     .thenComparing(Comparator.naturalOrder()))
             .toList();
-    int left = available;
-    // One round for each connection of the floor, so that a scarce floor reaches the most proxies.
+    int remaining = available;
+    // Allocates one connection per round, so that scarce connections reach as many proxies as
+    // possible.
     for (int round = 0; round < floor; round++) {
-      left = giveOneEach(byDemand, wanted, shares, left);
+      remaining = allocateOneEach(byDemand, wanted, shares, remaining);
     }
-    shareByDemand(byDemand, wanted, shares, left);
+    allocateByDemand(byDemand, wanted, shares, remaining);
     return shares;
   }
 
-  private static int giveOneEach(
+  private static int allocateOneEach(
       List<ProxyId> order,
       Map<ProxyId, Integer> wanted,
       SortedMap<ProxyId, Integer> shares,
       int available) {
-    int left = available;
+    int remaining = available;
     for (ProxyId proxy : order) {
-      if (left > 0 && shares.get(proxy) < wanted.get(proxy)) {
+      if (remaining > 0 && shares.get(proxy) < wanted.get(proxy)) {
         shares.merge(proxy, 1, Integer::sum);
-        left--;
+        remaining--;
       }
     }
-    return left;
+    return remaining;
   }
 
-  /** Each gets the part of the rest that its unmet demand is of all unmet demand. */
-  private static void shareByDemand(
+  /** Divides the available connections in proportion to each proxy's unmet demand. */
+  private static void allocateByDemand(
       List<ProxyId> order,
       Map<ProxyId, Integer> wanted,
       SortedMap<ProxyId, Integer> shares,
       int available) {
-    long unmet = order.stream().mapToLong(proxy -> wanted.get(proxy) - shares.get(proxy)).sum();
-    int left = available;
-    if (unmet > 0) {
-      int rest = available;
+    long totalUnmet =
+        order.stream().mapToLong(proxy -> wanted.get(proxy) - shares.get(proxy)).sum();
+    int remaining = available;
+    if (totalUnmet > 0) {
+      int divisible = available;
       for (ProxyId proxy : order) {
-        int missing = wanted.get(proxy) - shares.get(proxy);
-        int part = (int) Math.min(missing, rest * (long) missing / unmet);
-        shares.merge(proxy, part, Integer::sum);
-        left -= part;
+        int unmet = wanted.get(proxy) - shares.get(proxy);
+        int share = (int) Math.min(unmet, divisible * (long) unmet / totalUnmet);
+        shares.merge(proxy, share, Integer::sum);
+        remaining -= share;
       }
     }
     int before;
     do {
-      before = left;
-      left = giveOneEach(order, wanted, shares, left);
-    } while (left < before);
+      before = remaining;
+      remaining = allocateOneEach(order, wanted, shares, remaining);
+    } while (remaining < before);
   }
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/grant/GrantLedger.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/grant/GrantLedger.java
@@ -6,39 +6,44 @@
 import java.util.TreeMap;
 
 /**
- * The grants of one server's connections. Not safe for several threads.
+ * Tracks the grants of one server's connections. Not thread-safe.
  *
- * <p>Guards against more connections than the server accepts, which it would refuse or break, at
- * the moments when grants move: a reply is lost, a proxy dies, is cut off or restarts, the leader
- * changes. Each grant counts until its proxy has said that it holds less, or its lease is over;
- * only what is free of that is granted. A proxy's lease ends before it ends here, since the proxy
- * counts from before it asked.
+ * <p>Proxies that open more connections than the server accepts would have them refused or closed.
+ * This can happen when a reply is lost, a proxy fails, is partitioned or restarts, or the leader
+ * changes. A grant therefore counts until its proxy reports that it holds fewer connections or the
+ * lease expires, and only the remaining connections are granted. A lease expires earlier at the
+ * proxy than in the ledger, because the proxy measures it from before it sends the request.
  */
 public final class GrantLedger {
   private final GrantOptions options;
-  private final long quarantineUntilNanos;
+  private final long quarantineEndNanos;
   private final SortedMap<ProxyId, Entry> entries = new TreeMap<>();
 
   /**
-   * Creates the ledger of a new leader.
+   * Creates an empty ledger for a new leader.
    *
-   * @param leaderSinceNanos a time at which this host was the leader already
+   * @param leaderSinceNanos a time at or after this host became the leader, in nanoseconds; the
+   *     quarantine starts there
    */
   public GrantLedger(GrantOptions options, long leaderSinceNanos) {
     this.options = Objects.requireNonNull(options);
-    this.quarantineUntilNanos = leaderSinceNanos + options.quarantine().toNanos();
+    this.quarantineEndNanos = leaderSinceNanos + options.quarantine().toNanos();
   }
 
   /**
    * Renews the grant of one proxy.
    *
    * @param budget the connections that the server accepts
-   * @param primary whether the server is the primary, which gets the reserve as well
-   * @param proxy the proxy
-   * @param sequence the number of the request; an older one than the last is void
-   * @param held the most connections that the proxy has or may open until it gets the reply
-   * @param wanted the connections that it could use
-   * @return the connections that it may have, for the lease from the time of its request
+   * @param primary whether the server is the primary, whose reserve is granted as well
+   * @param proxy the proxy that sent the request
+   * @param sequence the sequence number of the request; a request whose number is not higher than
+   *     the last one is ignored
+   * @param held the maximum number of connections that the proxy holds or may open before it
+   *     receives the reply
+   * @param wanted the connections that the proxy has demand for
+   * @param nowNanos the current time of the monotonic clock
+   * @return the connections that the proxy may hold for one lease from the time of its request; 0
+   *     if the request is ignored
    */
   public int renew(
       int budget,
@@ -48,74 +53,80 @@
       int held,
       int wanted,
       long nowNanos) {
-    entries.values().removeIf(entry -> entry.untilNanos - nowNanos <= 0);
+    entries.values().removeIf(entry -> entry.expiresAtNanos - nowNanos <= 0);
     Entry entry = entries.get(proxy);
     if (entry != null && sequence <= entry.sequence) {
-      // Overtaken on the way: the proxy ignores the reply, and what it holds is known better.
+      // A newer request arrived first and holds later data; the proxy ignores this reply.
       return 0;
     }
-    boolean quarantine = quarantineUntilNanos - nowNanos > 0;
-    int believed = believed(entry, held, quarantine);
-    Entry renewed = new Entry(sequence, believed, Math.max(0, wanted), nowNanos + leaseNanos());
+    boolean quarantine = quarantineEndNanos - nowNanos > 0;
+    int presumedHeld = presumedHeld(entry, held, quarantine);
+    Entry renewed = new Entry(sequence, presumedHeld, Math.max(0, wanted), nowNanos + leaseNanos());
     entries.put(proxy, renewed);
     int target = shares(budget, primary).getOrDefault(proxy, 0);
-    int free = options.grantable(budget, primary) - countedWithout(proxy);
+    int free = options.grantable(budget, primary) - maxInUseByOthers(proxy);
     int granted = Math.max(0, Math.min(target, free));
     if (quarantine) {
-      granted = Math.min(granted, believed);
+      granted = Math.min(granted, presumedHeld);
     }
-    renewed.counted = Math.max(believed, granted);
+    renewed.maxInUse = Math.max(presumedHeld, granted);
     return granted;
   }
 
   /**
-   * What the proxy may have now. An unknown grant is one of an earlier leader, or none: its lease
-   * here is over, and a proxy's own lease ends before that.
+   * Returns the presumed maximum of the connections that the proxy holds. If the ledger has no
+   * entry, only an earlier leader can have issued a grant that is still valid: a grant of this
+   * ledger has expired, and it expires at the proxy first.
    */
-  private static int believed(Entry entry, int held, boolean quarantine) {
+  private static int presumedHeld(Entry entry, int held, boolean quarantine) {
     if (entry != null) {
-      return Math.min(held, entry.counted);
+      return Math.min(held, entry.maxInUse);
     }
     return quarantine ? held : 0;
   }
 
-  /** Returns the connections that may be in use, at most. */
-  public int counted(long nowNanos) {
+  /** Returns the maximum number of connections that all proxies may be using. */
+  public int maxInUse(long nowNanos) {
     return entries.values().stream()
-        .filter(entry -> entry.untilNanos - nowNanos > 0)
-        .mapToInt(entry -> entry.counted)
+        .filter(entry -> entry.expiresAtNanos - nowNanos > 0)
+        .mapToInt(entry -> entry.maxInUse)
         .sum();
   }
 
-  /** Returns whether no grant holds any more. */
-  public boolean unused(long nowNanos) {
-    return counted(nowNanos) == 0 && quarantineUntilNanos - nowNanos <= 0;
+  /** Returns whether the quarantine is over and no proxy may be using a connection. */
+  public boolean isUnused(long nowNanos) {
+    return maxInUse(nowNanos) == 0 && quarantineEndNanos - nowNanos <= 0;
   }
 
   private SortedMap<ProxyId, Integer> shares(int budget, boolean primary) {
     Map<ProxyId, Integer> wanted = new TreeMap<>();
     entries.forEach((proxy, entry) -> wanted.put(proxy, entry.wanted));
-    return GrantAllocation.share(available(budget, primary), options.floor(), wanted);
+    return GrantAllocation.allocate(available(budget, primary), options.floor(), wanted);
   }
 
   private int available(int budget, boolean primary) {
     int grantable = options.grantable(budget, primary);
-    return options.binding() ? grantable : ReturnRoom.available(budget, grantable, wantedByAll());
+    return options.hardLimit() ? grantable : ReturnRoom.available(budget, grantable, totalWanted());
   }
 
-  private int wantedByAll() {
+  private int totalWanted() {
     return entries.values().stream().mapToInt(entry -> entry.wanted).sum();
   }
 
-  /** Returns how many more are granted by now than leave room for a return of all hosts. */
-  public int beyondReturnRoom(int budget, long nowNanos) {
-    return options.binding() ? 0 : Math.max(0, counted(nowNanos) - ReturnRoom.calm(budget));
+  /**
+   * Returns how many granted connections exceed the count that lets all hosts reconnect after a
+   * power loss; 0 if grants are a hard limit.
+   */
+  public int grantedBeyondHeadroom(int budget, long nowNanos) {
+    return options.hardLimit()
+        ? 0
+        : Math.max(0, maxInUse(nowNanos) - ReturnRoom.steadyStateLimit(budget));
   }
 
-  private int countedWithout(ProxyId proxy) {
+  private int maxInUseByOthers(ProxyId proxy) {
     return entries.entrySet().stream()
         .filter(entry -> !entry.getKey().equals(proxy))
-        .mapToInt(entry -> entry.getValue().counted)
+        .mapToInt(entry -> entry.getValue().maxInUse)
         .sum();
   }
 
@@ -126,14 +137,14 @@
   private static final class Entry {
     final long sequence;
     final int wanted;
-    final long untilNanos;
-    int counted;
+    final long expiresAtNanos;
+    int maxInUse;
 
-    Entry(long sequence, int counted, int wanted, long untilNanos) {
+    Entry(long sequence, int maxInUse, int wanted, long expiresAtNanos) {
       this.sequence = sequence;
-      this.counted = counted;
+      this.maxInUse = maxInUse;
       this.wanted = wanted;
-      this.untilNanos = untilNanos;
+      this.expiresAtNanos = expiresAtNanos;
     }
   }
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/grant/GrantOptions.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/grant/GrantOptions.java
@@ -4,41 +4,43 @@
 import java.util.Objects;
 
 /**
- * How connections are shared.
+ * Options for dividing a server's connections among proxies.
  *
- * @param floor the connections that each proxy gets before demand counts
- * @param reserveShare the share of a replica's connections that is kept back: it is there at once
- *     when the replica becomes the primary and all proxies turn to it
- * @param lease how long a grant holds
- * @param binding whether hosts never hold more than their grants, so that the sum of all grants
- *     must not exceed what a server accepts; where servers refuse what is too much, grants share
- *     what there is, and room is kept for a return of all hosts
+ * @param floor the connections allocated to each proxy before the rest is divided by demand
+ * @param reserveShare the fraction of a replica's connections that is not granted, so that they are
+ *     available immediately when the replica becomes the primary and all proxies connect to it
+ * @param lease the lifetime of a grant
+ * @param hardLimit whether hosts never hold more connections than granted; the sum of all grants
+ *     then must not exceed the connections that a server accepts. If false, servers refuse excess
+ *     connections themselves, and grants leave headroom for all hosts to reconnect
  */
-public record GrantOptions(int floor, double reserveShare, Duration lease, boolean binding) {
-  /** What holds unless the settings say otherwise. */
+public record GrantOptions(int floor, double reserveShare, Duration lease, boolean hardLimit) {
+  /** Default options: grants are a hard limit. */
   public static final GrantOptions DEFAULT = new GrantOptions(2, 0.1, Duration.ofSeconds(5), true);
 
-  /** What holds before servers that refuse connections beyond their limit by themselves. */
+  /** Options for servers that refuse connections beyond their limit themselves. */
   public static final GrantOptions ADVISORY =
       new GrantOptions(1, 0.1, Duration.ofSeconds(5), false);
 
-  /** Checks. */
+  /** Creates the options; {@code lease} must not be null. */
   public GrantOptions {
     Objects.requireNonNull(lease);
   }
 
-  /** Returns how many of a server's connections may be granted. */
+  /** Returns how many of the {@code budget} connections of a server may be granted. */
   public int grantable(int budget, boolean primary) {
     return primary ? budget : budget - (int) Math.ceil(budget * reserveShare);
   }
 
   /**
-   * Returns how long a new leader waits before it grants more than proxies hold already.
+   * Returns how long a new leader waits before it grants more connections than proxies already
+   * hold.
    *
-   * <p>An earlier leader's grants may be unknown to it; they have ended by then, also by a clock
-   * that is slower by a tenth. Grants that do not bind need no such wait.
+   * <p>A new leader does not have the grants of earlier leaders. The wait is the lease plus a
+   * tenth, so these grants have expired even on a clock that runs a tenth slower. No wait is needed
+   * if grants are not a hard limit.
    */
   public Duration quarantine() {
-    return !binding ? Duration.ZERO : lease.plus(lease.dividedBy(10));
+    return !hardLimit ? Duration.ZERO : lease.plus(lease.dividedBy(10));
   }
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/grant/GrantService.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/grant/GrantService.java
@@ -26,11 +26,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Grants connections while this host leads.
+ * Grants connections to proxies while this host is the leader of the control log.
  *
- * <p>Grants are not in the log: a new leader starts with empty ledgers and lets the old grants end.
- * A quorum confirms the leadership for each request, so that a replaced leader grants nothing whose
- * lease outlasts the quarantine of its successor. Lock: the object itself, a leaf.
+ * <p>Grants are not replicated in the log. A new leader starts with empty ledgers and waits until
+ * earlier grants have expired. A quorum confirms the leadership for each request, so that a
+ * replaced leader cannot issue a grant whose lease outlasts the quarantine of its successor. The
+ * class is thread-safe; its lock is the instance, a leaf in the lock order.
  */
 public final class GrantService {
   private static final Logger log = LoggerFactory.getLogger(GrantService.class);
@@ -45,7 +46,7 @@
   private long ledgerTerm = -1;
   private long leaderSinceNanos;
 
-  /** Creates a service over the view of the control state. */
+  /** Creates a service that reads servers and groups from the view of the control state. */
   public GrantService(
       ControlLog controlLog, Supplier<View> views, GrantOptions options, MonotonicClock clock) {
     this.controlLog = Objects.requireNonNull(controlLog);
@@ -54,14 +55,14 @@
     this.clock = Objects.requireNonNull(clock);
   }
 
-  /** Adds the method of this service. */
+  /** Registers the method for renewing grants. */
   public void serve(Dispatcher dispatcher) {
     dispatcher.serve(GrantMethods.RENEW_GRANTS, (peer, request) -> renew(request));
   }
 
   /**
-   * Returns how many connections more than leave room for a return of all hosts are granted, of all
-   * servers together; 0 on a host that does not lead.
+   * Returns how many granted connections, summed over all servers, exceed the count that lets all
+   * hosts reconnect after a power loss; 0 on a host that is not the leader.
    */
   public synchronized int beyondReturnRoom() {
     if (!controlLog.leading()) {
@@ -70,18 +71,25 @@
     long now = clock.nowNanos();
     View view = views.get();
     return ledgers.entrySet().stream()
-        .mapToInt(entry -> entry.getValue().beyondReturnRoom(accepted(view, entry.getKey()), now))
+        .mapToInt(
+            entry ->
+                entry
+                    .getValue()
+                    .grantedBeyondHeadroom(acceptedConnections(view, entry.getKey()), now))
         .sum();
   }
 
-  private static int accepted(View view, ServerId server) {
+  private static int acceptedConnections(View view, ServerId server) {
     return view.server(server)
         .flatMap(state -> view.group(state.group()))
         .map(GroupState::connectionsPerServer)
         .orElse(0);
   }
 
-  /** Renews the grants of one proxy. */
+  /**
+   * Renews the grants of one proxy. The future fails with {@link ErrorCode#NOT_LEADER} if the
+   * leadership changes before the request is processed.
+   */
   public CompletableFuture<RenewGrantsReply> renew(RenewGrantsRequest request) {
     long term = controlLog.term();
     return controlLog.readBarrier().thenApply(confirmed -> renewInTerm(term, request));
@@ -89,13 +97,14 @@
 
   private synchronized RenewGrantsReply renewInTerm(long term, RenewGrantsRequest request) {
     if (controlLog.term() != term || !controlLog.leading()) {
-      throw AlderyardException.notRun(ErrorCode.NOT_LEADER, "the leadership moved on");
+      throw AlderyardException.notRun(
+          ErrorCode.NOT_LEADER, "the leadership changed before the grants were renewed");
     }
     long now = clock.nowNanos();
     if (term != ledgerTerm) {
       ledgers.clear();
       ledgerTerm = term;
-      // Before the first leader of a cluster there was none whose grants could still hold.
+      // In the first term of a cluster no earlier leader exists whose grants could still be valid.
       leaderSinceNanos = term <= FIRST_TERM ? now - options.quarantine().toNanos() : now;
       log.info("event=grant-leader term={} quarantine={}", term, options.quarantine());
     }
@@ -108,7 +117,7 @@
     for (ConnectionDemand demand : request.getDemandsList()) {
       reply.addGrants(grant(view, proxy, request.getSequence(), demand, now));
     }
-    ledgers.values().removeIf(ledger -> ledger.unused(now));
+    ledgers.values().removeIf(ledger -> ledger.isUnused(now));
     return reply.build();
   }
 
--- a/alderyard-control/src/main/java/org/alderyard/control/grant/ProxyId.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/grant/ProxyId.java
@@ -4,14 +4,15 @@
 import org.alderyard.common.id.HostId;
 
 /**
- * One start of a proxy: connections of an earlier start may outlive it for a while.
+ * Identifies one incarnation of a proxy. Connections of an earlier incarnation may stay open at a
+ * server for some time after the proxy restarts.
  *
- * @param host the host
- * @param incarnation its start
+ * @param host the host of the proxy
+ * @param incarnation the incarnation of the host
  */
 public record ProxyId(HostId host, long incarnation) implements Comparable<ProxyId> {
 
-  /** Checks. */
+  /** Creates an id; {@code host} must not be null. */
   public ProxyId {
     Objects.requireNonNull(host);
   }
@@ -22,7 +23,7 @@
     return byHost != 0 ? byHost : Long.compare(incarnation, other.incarnation);
   }
 
-  /** Written out as in {@link org.alderyard.common.id}. */
+  /** Implemented explicitly for the reason given in {@link org.alderyard.common.id}. */
   @Override
   public boolean equals(Object other) {
     return other instanceof ProxyId that
--- a/alderyard-control/src/main/java/org/alderyard/control/grant/ReturnRoom.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/grant/ReturnRoom.java
@@ -1,29 +1,29 @@
 package org.alderyard.control.grant;
 
 /**
- * How many of a server's connections are granted where servers refuse what is too much. Pure.
+ * Limits the grants of a server that refuses excess connections itself. Stateless.
  *
- * <p>Guards against a return without room: when all hosts lose power, a server counts their dead
- * connections for seconds more. Hosts that had held all that it accepts were refused anew until
- * then, and their callers with them. So while the need allows it, the hosts together hold less than
- * half of what the server accepts, and the whole fleet finds room for the same number once more.
+ * <p>When all hosts lose power, a server counts their failed connections for some seconds more. If
+ * the hosts held all that it accepts, it refuses their new connections until then, and the
+ * statements of their callers fail. While demand permits, all hosts together therefore hold less
+ * than half of the connections that the server accepts, so that all of them can reconnect.
  */
 final class ReturnRoom {
   private ReturnRoom() {}
 
-  /** Returns how many may be held so that as many again, and one more, find room. */
-  static int calm(int accepted) {
+  /** Returns the largest count that leaves the server capacity for the same count plus one. */
+  static int steadyStateLimit(int accepted) {
     return Math.max(0, (accepted - 1) / 2);
   }
 
   /**
-   * Returns how many are granted in all.
+   * Returns the number of connections to grant to all hosts together.
    *
    * @param accepted the connections that the server accepts
-   * @param grantable the most that may be granted of them
-   * @param needed what all hosts together have work for
+   * @param grantable the upper bound of the connections that may be granted
+   * @param needed the sum of the connections that the hosts have demand for
    */
   static int available(int accepted, int grantable, int needed) {
-    return Math.min(grantable, Math.max(calm(accepted), needed));
+    return Math.min(grantable, Math.max(steadyStateLimit(accepted), needed));
   }
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/grant/package-info.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/grant/package-info.java
@@ -1,9 +1,10 @@
 /**
- * Grants of connections: each backend server accepts a few dozen, shared by all proxies.
+ * Connection grants: leases that divide the connections of each backend server among all proxies. A
+ * server accepts a few dozen connections.
  *
- * <p>The leading control host grants them as leases. {@link
- * org.alderyard.control.grant.GrantAllocation} says what would be fair, {@link
- * org.alderyard.control.grant.GrantLedger} what is safe: the sum of all grants that may still be in
- * use never exceeds what the server accepts.
+ * <p>The leader of the control hosts issues the grants. {@link
+ * org.alderyard.control.grant.GrantAllocation} computes the fair share of each proxy. {@link
+ * org.alderyard.control.grant.GrantLedger} limits the shares so that the sum of all grants that may
+ * still be in use stays within the connections that the server accepts.
  */
 package org.alderyard.control.grant;
--- a/alderyard-control/src/test/java/org/alderyard/control/grant/GrantLedgerTest.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/grant/GrantLedgerTest.java
@@ -15,7 +15,7 @@
 import org.alderyard.common.id.HostId;
 import org.junit.jupiter.api.Test;
 
-/** What is fair and what is safe to grant of a server's connections. */
+/** Tests that connections are divided fairly and that grants stay within the server's limit. */
 class GrantLedgerTest {
   private static final GrantOptions OPTIONS = GrantOptions.DEFAULT;
   private static final int BUDGET = 35;
@@ -37,14 +37,14 @@
   }
 
   @Property(seed = "20261202", tries = 500)
-  void sharesAreWithinTheBudgetTheDemandAndTheFloor(
+  void sharesRespectBudgetDemandAndFloor(
       @ForAll("demands") Map<ProxyId, Integer> wanted,
       @ForAll @IntRange(min = 0, max = 40) int available) {
     SortedMap<ProxyId, Integer> shares =
-        GrantAllocation.share(available, OPTIONS.floor(), new TreeMap<>(wanted));
-    int given = shares.values().stream().mapToInt(Integer::intValue).sum();
-    int asked = wanted.values().stream().mapToInt(Integer::intValue).sum();
-    assertThat(given).isEqualTo(Math.min(available, asked));
+        GrantAllocation.allocate(available, OPTIONS.floor(), new TreeMap<>(wanted));
+    int allocated = shares.values().stream().mapToInt(Integer::intValue).sum();
+    int totalWanted = wanted.values().stream().mapToInt(Integer::intValue).sum();
+    assertThat(allocated).isEqualTo(Math.min(available, totalWanted));
     boolean floorsFit = wanted.size() * OPTIONS.floor() <= available;
     shares.forEach(
         (proxy, share) -> {
@@ -56,9 +56,9 @@
   }
 
   @Test
-  void restIsSharedByDemand() {
+  void connectionsAboveFloorAreDividedByDemand() {
     SortedMap<ProxyId, Integer> shares =
-        GrantAllocation.share(32, 2, new TreeMap<>(Map.of(proxy(1), 62, proxy(2), 32)));
+        GrantAllocation.allocate(32, 2, new TreeMap<>(Map.of(proxy(1), 62, proxy(2), 32)));
     assertThat(shares).containsExactly(proxy(1), 21, proxy(2), 11);
   }
 
@@ -67,39 +67,40 @@
   }
 
   /**
-   * A proxy dies with 31 connections open. The server may still hold them, so nothing is granted to
-   * the other proxies until the dead one's lease is over; then all of it.
+   * Guards against too many connections when a proxy fails with 31 connections open. The server may
+   * still hold them, so other proxies get none until the lease of the failed proxy expires.
    */
   @Test
-  void deadProxysConnectionsAreNotGivenAwayBeforeItsLeaseEnds() {
+  void failedProxysConnectionsAreNotGrantedBeforeLeaseExpires() {
     assertThat(renew(1, 1, 0, 100, AFTER_QUARANTINE)).isEqualTo(31);
     assertThat(renew(2, 1, 0, 20, AFTER_QUARANTINE + SECOND)).isEqualTo(0);
     assertThat(renew(2, 2, 0, 20, AFTER_QUARANTINE + 6 * SECOND)).isEqualTo(20);
   }
 
   /**
-   * Grants move from a busy proxy to a new one: the busy one is told to shrink and still has all
-   * its connections open. The new one gets them only when the busy one has said that they are
-   * closed.
+   * Guards against granting the same connections twice when the grant of a busy proxy is reduced in
+   * favor of a new proxy. The busy proxy still has the connections open, so the new proxy gets them
+   * only after the busy proxy reports that they are closed.
    */
   @Test
-  void shrinkingGrantIsFreeOnlyOnceTheProxyHasClosed() {
+  void reducedGrantIsReusedOnlyAfterProxyClosesConnections() {
     long now = AFTER_QUARANTINE;
     assertThat(renew(1, 1, 0, 31, now)).isEqualTo(31);
     assertThat(renew(2, 1, 0, 31, now)).isEqualTo(0);
-    int shrunk = renew(1, 2, 31, 31, now + SECOND);
-    assertThat(shrunk).isLessThan(31);
+    int reduced = renew(1, 2, 31, 31, now + SECOND);
+    assertThat(reduced).isLessThan(31);
     assertThat(renew(2, 2, 0, 31, now + SECOND)).isEqualTo(0);
-    assertThat(renew(1, 3, shrunk, 31, now + 2 * SECOND)).isAtMost(shrunk);
-    assertThat(renew(2, 3, 0, 31, now + 2 * SECOND)).isEqualTo(31 - shrunk);
+    assertThat(renew(1, 3, reduced, 31, now + 2 * SECOND)).isAtMost(reduced);
+    assertThat(renew(2, 3, 0, 31, now + 2 * SECOND)).isEqualTo(31 - reduced);
   }
 
   /**
-   * The leader is replaced. The new one knows no grant, though proxies hold some; one that is cut
-   * off may hold all the rest. Until the old leases are over it only confirms what proxies hold.
+   * Guards against too many connections after a change of leader. The new leader has no record of
+   * earlier grants, and a partitioned proxy may hold all remaining connections. Until the earlier
+   * leases expire, the leader only confirms connections that proxies hold.
    */
   @Test
-  void newLeaderGrantsNoMoreThanIsHeldUntilOldLeasesEnd() {
+  void newLeaderGrantsOnlyHeldConnectionsDuringQuarantine() {
     assertThat(renew(1, 9, 4, 31, SECOND)).isEqualTo(4);
     assertThat(renew(2, 9, 0, 31, SECOND)).isEqualTo(0);
     long quarantine = OPTIONS.quarantine().toNanos();
@@ -107,22 +108,22 @@
   }
 
   /**
-   * A replica becomes the primary while all its connections are granted. The reserve is there at
-   * once for the proxies whose writes turn to it.
+   * Tests that the reserve is available immediately when a replica becomes the primary while all
+   * other connections are granted, for proxies that start sending writes to that server.
    */
   @Test
   void reserveIsGrantedWhenTheReplicaBecomesPrimary() {
     long now = AFTER_QUARANTINE;
     assertThat(renew(1, 1, 0, 31, now)).isEqualTo(31);
     assertThat(ledger.renew(BUDGET, true, proxy(2), 1, 0, 31, now)).isEqualTo(4);
-    assertThat(ledger.counted(now)).isEqualTo(BUDGET);
+    assertThat(ledger.maxInUse(now)).isEqualTo(BUDGET);
   }
 
   @Test
-  void overtakenRequestChangesNothing() {
+  void staleRequestIsIgnored() {
     long now = AFTER_QUARANTINE;
     assertThat(renew(1, 5, 0, 3, now)).isEqualTo(3);
     assertThat(renew(1, 4, 0, 30, now)).isEqualTo(0);
-    assertThat(ledger.counted(now)).isEqualTo(3);
+    assertThat(ledger.maxInUse(now)).isEqualTo(3);
   }
 }
--- a/alderyard-control/src/test/java/org/alderyard/control/grant/ReturnRoomTest.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/grant/ReturnRoomTest.java
@@ -9,17 +9,19 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Pattern: all hosts return at once. They lose power, and their callers come back with them while
- * each server still counts the connections of before. Hosts that had held all that a server accepts
- * were refused for seconds more, and so were most reads and writes of that time.
+ * Guards against refused connections after all hosts lose power and restart together. Each server
+ * still counts the earlier connections for some seconds. If the hosts held all connections that the
+ * server accepts, it refused new ones meanwhile, and most reads and writes failed.
  */
 class ReturnRoomTest {
   private static final int ACCEPTED = 25;
   private static final int HOSTS = 11;
   private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
 
-  /** A server refuses what is too much itself; each host has one connection without any grant. */
-  private static int held(int granted) {
+  /**
+   * The server refuses excess connections itself; each host holds one connection without a grant.
+   */
+  private static int heldWithGrant(int granted) {
     return Math.max(1, granted);
   }
 
@@ -27,7 +29,7 @@
     return new ProxyId(new HostId("h" + number), incarnation);
   }
 
-  /** Returns what each host holds after some renewals with the given wish. */
+  /** Returns the connections that each host holds after four renewals with the given demand. */
   private static List<Integer> renewAll(
       GrantLedger ledger, int hosts, long incarnation, int wanted, long fromNanos) {
     List<Integer> held = new ArrayList<>();
@@ -45,7 +47,7 @@
                 held.get(number),
                 wanted,
                 fromNanos + round * SECOND);
-        held.set(number, held(granted));
+        held.set(number, heldWithGrant(granted));
       }
     }
     return held;
@@ -56,43 +58,43 @@
   }
 
   @Test
-  void allHostsFindRoomWhileTheServerStillCountsTheirDeadConnections() {
-    int dead = sum(renewAll(new GrantLedger(GrantOptions.ADVISORY, 0), HOSTS, 1, 1, 0));
-    GrantLedger afterReturn = new GrantLedger(GrantOptions.ADVISORY, 60 * SECOND);
-    int returned = sum(renewAll(afterReturn, HOSTS, 2, 1, 60 * SECOND));
+  void allHostsReconnectWhileServerStillCountsFailedConnections() {
+    int failed = sum(renewAll(new GrantLedger(GrantOptions.ADVISORY, 0), HOSTS, 1, 1, 0));
+    GrantLedger ledgerAfterRestart = new GrantLedger(GrantOptions.ADVISORY, 60 * SECOND);
+    int reconnected = sum(renewAll(ledgerAfterRestart, HOSTS, 2, 1, 60 * SECOND));
 
-    assertThat(dead + returned).isAtMost(ACCEPTED);
-    assertThat(returned).isAtLeast(HOSTS);
+    assertThat(failed + reconnected).isAtMost(ACCEPTED);
+    assertThat(reconnected).isAtLeast(HOSTS);
   }
 
   @Test
-  void newLeaderGrantsAtOnceAsServersRefuseWhatIsTooMuch() {
-    GrantLedger fresh = new GrantLedger(GrantOptions.ADVISORY, 0);
+  void newLeaderGrantsImmediatelyIfServersRefuseExcessConnections() {
+    GrantLedger ledger = new GrantLedger(GrantOptions.ADVISORY, 0);
 
-    assertThat(fresh.renew(ACCEPTED, true, proxy(1, 2), 1, 1, 4, SECOND)).isEqualTo(4);
+    assertThat(ledger.renew(ACCEPTED, true, proxy(1, 2), 1, 1, 4, SECOND)).isEqualTo(4);
   }
 
   @Test
-  void roomGivesWayToWorkAndTellsSo() {
+  void demandUsesHeadroomAndExcessIsReported() {
     GrantLedger ledger = new GrantLedger(GrantOptions.ADVISORY, 0);
     int held = sum(renewAll(ledger, HOSTS, 1, 2, 0));
 
     assertThat(held).isEqualTo(2 * HOSTS);
-    assertThat(ledger.beyondReturnRoom(ACCEPTED, 4 * SECOND))
-        .isEqualTo(2 * HOSTS - ReturnRoom.calm(ACCEPTED));
+    assertThat(ledger.grantedBeyondHeadroom(ACCEPTED, 4 * SECOND))
+        .isEqualTo(2 * HOSTS - ReturnRoom.steadyStateLimit(ACCEPTED));
   }
 
   @Test
-  void workNeverGetsMoreThanTheServerAccepts() {
+  void grantsStayWithinAcceptedConnections() {
     List<Integer> held = renewAll(new GrantLedger(GrantOptions.ADVISORY, 0), HOSTS, 1, 9, 0);
 
     assertThat(sum(held)).isAtMost(ACCEPTED);
   }
 
   @Test
-  void calmBoundLeavesAsMuchAndOneMore() {
-    assertThat(ReturnRoom.calm(25)).isEqualTo(12);
-    assertThat(ReturnRoom.calm(44)).isEqualTo(21);
-    assertThat(ReturnRoom.calm(1)).isEqualTo(0);
+  void steadyStateLimitLeavesSameCountPlusOne() {
+    assertThat(ReturnRoom.steadyStateLimit(25)).isEqualTo(12);
+    assertThat(ReturnRoom.steadyStateLimit(44)).isEqualTo(21);
+    assertThat(ReturnRoom.steadyStateLimit(1)).isEqualTo(0);
   }
 }
