--- a/alderyard-control/src/main/java/org/alderyard/control/operator/ControlGateway.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/operator/ControlGateway.java
@@ -8,18 +8,20 @@
 import org.alderyard.protocol.generated.control.Ticket;
 import org.alderyard.protocol.generated.control.TicketStatusReply;
 
-/** Brings the requests of operators to the control host that leads. */
+/** Sends operator requests to the leader of the control hosts. */
 public interface ControlGateway {
 
-  /** Returns the answer once the ticket is ordered. */
+  /**
+   * Submits a ticket. The future completes with the verdict once the log has applied the ticket.
+   */
   CompletableFuture<SubmitTicketReply> submit(Ticket ticket);
 
-  /** Returns one ticket, or the newest ones for number 0. */
+  /** Returns the ticket with the given number, or the newest tickets if the number is 0. */
   CompletableFuture<TicketStatusReply> tickets(long number);
 
   /** Starts or ends the drain of a host. */
   CompletableFuture<DrainHostReply> drain(DrainHostRequest request);
 
-  /** Returns who leads and how far the hosts have followed. */
+  /** Returns the leader, its term, and the counts of hosts whose view is current. */
   CompletableFuture<ControlStatusReply> status();
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/operator/FieldReader.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/operator/FieldReader.java
@@ -6,7 +6,10 @@
 import java.util.Set;
 import org.alderyard.common.error.FieldFault;
 
-/** Reads the fields of one JSON object; what can't be read is noted and replaced by a preset. */
+/**
+ * Reads the fields of one JSON object. A value that is not valid is replaced by a default and
+ * recorded as a fault.
+ */
 final class FieldReader {
   private final String object;
   private final JsonNode node;
@@ -18,36 +21,36 @@
     this.faults = faults;
   }
 
-  /** Notes each field that is not one of these. */
-  void allow(Set<String> fields) {
+  /** Records a fault for each field whose name is not in {@code fields}. */
+  void reportUnknownFields(Set<String> fields) {
     node.fieldNames()
         .forEachRemaining(
             field -> {
               if (!fields.contains(field)) {
-                add(field, "present", String.join(", ", fields.stream().sorted().toList()));
+                addFault(field, "present", String.join(", ", fields.stream().sorted().toList()));
               }
             });
   }
 
-  String text(String field, String preset) {
+  String text(String field, String defaultValue) {
     JsonNode value = node.path(field);
     if (value.isTextual()) {
       return value.asText();
     }
     if (!value.isMissingNode()) {
-      add(field, value.toString(), "a string");
+      addFault(field, value.toString(), "a string");
     }
-    return preset;
+    return defaultValue;
   }
 
-  int integer(String field, int preset) {
-    return (int) number(field, preset, Integer.MAX_VALUE);
+  int integer(String field, int defaultValue) {
+    return (int) number(field, defaultValue, Integer.MAX_VALUE);
   }
 
-  long number(String field, long preset, long max) {
+  long number(String field, long defaultValue, long max) {
     JsonNode value = node.path(field);
     if (value.isMissingNode()) {
-      return preset;
+      return defaultValue;
     }
     if (value.isIntegralNumber() && value.canConvertToLong()) {
       long number = value.asLong();
@@ -55,40 +58,40 @@
         return number;
       }
     }
-    add(field, value.toString(), "a whole number, 0 to " + max);
-    return preset;
+    addFault(field, value.toString(), "an integer from 0 to " + max);
+    return defaultValue;
   }
 
-  boolean flag(String field, boolean preset) {
+  boolean flag(String field, boolean defaultValue) {
     JsonNode value = node.path(field);
     if (value.isBoolean()) {
       return value.asBoolean();
     }
     if (!value.isMissingNode()) {
-      add(field, value.toString(), "true, false");
+      addFault(field, value.toString(), "true, false");
     }
-    return preset;
+    return defaultValue;
   }
 
-  List<String> texts(String field) {
+  List<String> textList(String field) {
     List<String> result = new ArrayList<>();
     JsonNode value = node.path(field);
-    boolean list = value.isMissingNode() || value.isArray();
-    if (!list) {
-      add(field, value.toString(), "a list of strings");
+    boolean absentOrArray = value.isMissingNode() || value.isArray();
+    if (!absentOrArray) {
+      addFault(field, value.toString(), "an array of strings");
       return result;
     }
     for (JsonNode item : value) {
       if (item.isTextual()) {
         result.add(item.asText());
       } else {
-        add(field, item.toString(), "a string");
+        addFault(field, item.toString(), "a string");
       }
     }
     return result;
   }
 
-  void add(String field, String value, String accepted) {
+  void addFault(String field, String value, String accepted) {
     faults.add(new FieldFault(object, field, value, accepted));
   }
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/operator/OperatorApi.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/operator/OperatorApi.java
@@ -23,7 +23,7 @@
 import org.alderyard.control.state.TicketRules;
 import org.alderyard.protocol.generated.control.DrainHostRequest;
 
-/** The operators' HTTP interface; every request needs the operators' key. */
+/** HTTP API for operators; every request must carry the operator key as a bearer token. */
 public final class OperatorApi {
   private static final String BEARER = "Bearer ";
 
@@ -31,14 +31,20 @@
   private final Supplier<View> view;
   private final byte[] key;
 
-  /** Creates the interface. */
+  /**
+   * Creates the API.
+   *
+   * @param control sends requests to the leader of the control hosts
+   * @param view supplies the view that read requests render
+   * @param key the operator key
+   */
   public OperatorApi(ControlGateway control, Supplier<View> view, String key) {
     this.control = control;
     this.view = view;
     this.key = key.getBytes(StandardCharsets.UTF_8);
   }
 
-  /** Returns the handler of the operators' port. */
+  /** Returns the HTTP handler for the operator port. */
   public HttpHandler handler() {
     RoutingHandler routes =
         new RoutingHandler()
@@ -47,10 +53,10 @@
             .get("/v1/tickets", this::listTickets)
             .get("/v1/status", this::status)
             .post("/v1/hosts/{host}/drain", this::drain)
-            .get("/v1/pools", show(ViewJson::pools))
-            .get("/v1/groups", show(ViewJson::groups))
-            .get("/v1/servers", show(ViewJson::servers))
-            .get("/v1/hosts", show(ViewJson::hosts))
+            .get("/v1/pools", viewHandler(ViewJson::pools))
+            .get("/v1/groups", viewHandler(ViewJson::groups))
+            .get("/v1/servers", viewHandler(ViewJson::servers))
+            .get("/v1/hosts", viewHandler(ViewJson::hosts))
             .setFallbackHandler(OperatorApi::notFound);
     return exchange -> authorize(exchange, routes);
   }
@@ -68,8 +74,7 @@
     }
     JsonExchange.sendError(
         exchange,
-        AlderyardException.notRun(
-            ErrorCode.UNAUTHORIZED, "the operators' key is missing or wrong"));
+        AlderyardException.notRun(ErrorCode.UNAUTHORIZED, "the operator key is missing or wrong"));
   }
 
   private static void notFound(HttpServerExchange exchange) {
@@ -79,20 +84,20 @@
             ErrorCode.NOT_FOUND, "no resource at " + exchange.getRequestPath()));
   }
 
-  private HttpHandler show(Function<View, JsonNode> render) {
+  private HttpHandler viewHandler(Function<View, JsonNode> render) {
     return exchange -> JsonExchange.send(exchange, 200, render.apply(view.get()));
   }
 
   private void putTicket(HttpServerExchange exchange) {
-    JsonExchange.handle(exchange, body -> submit(number(exchange), Json.parseObject(body)));
+    JsonExchange.handle(exchange, body -> submit(ticketNumber(exchange), Json.parseObject(body)));
   }
 
   private CompletableFuture<JsonNode> submit(long number, JsonNode body) {
-    TicketParser.Parsed parsed = TicketParser.parse(number, body);
+    TicketParser.ParsedTicket parsed = TicketParser.parse(number, body);
     if (parsed.faults().isEmpty()) {
       return control.submit(parsed.ticket()).thenApply(TicketJson::answer);
     }
-    // The operator gets all faults at once: those of the text, and what the rules find in the rest.
+    // Reports all faults in one response: parse faults and violated rules of the parsed objects.
     List<FieldFault> faults = new ArrayList<>(parsed.faults());
     faults.addAll(TicketRules.check(view.get(), host -> true, parsed.ticket().getObjectsList()));
     throw new TicketException(number, faults);
@@ -102,8 +107,8 @@
     JsonExchange.handle(
         exchange,
         body -> {
-          long number = number(exchange);
-          return control.tickets(number).thenApply(reply -> TicketJson.one(number, reply));
+          long number = ticketNumber(exchange);
+          return control.tickets(number).thenApply(reply -> TicketJson.ticketStatus(number, reply));
         });
   }
 
@@ -124,7 +129,7 @@
     List<FieldFault> faults = new ArrayList<>();
     JsonNode node = body.length == 0 ? Json.object() : Json.parseObject(body);
     FieldReader reader = new FieldReader("host/" + host, node, faults);
-    reader.allow(Set.of("draining"));
+    reader.reportUnknownFields(Set.of("draining"));
     boolean draining = reader.flag("draining", true);
     if (!faults.isEmpty()) {
       throw AlderyardException.notRun(ErrorCode.BAD_REQUEST, faults.get(0).toString());
@@ -134,17 +139,18 @@
     return control.drain(request).thenApply(reply -> TicketJson.drain(host, draining, reply));
   }
 
-  private static long number(HttpServerExchange exchange) {
+  private static long ticketNumber(HttpServerExchange exchange) {
     String text = exchange.getQueryParameters().get("number").getFirst();
     try {
       long number = Long.parseLong(text);
       if (number > 0) {
         return number;
       }
-    } catch (NumberFormatException notNumber) {
-      // Falls through to the typed error below.
+    } catch (NumberFormatException malformed) {
+      // The error below covers malformed numbers as well.
     }
     throw AlderyardException.notRun(
-        ErrorCode.BAD_REQUEST, "ticket number is '" + text + "'; accepted are 1 to 2^63-1");
+        ErrorCode.BAD_REQUEST,
+        "ticket number is '" + text + "'; it must be an integer from 1 to 2^63-1");
   }
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/operator/RemoteControlGateway.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/operator/RemoteControlGateway.java
@@ -15,15 +15,15 @@
 import org.alderyard.protocol.generated.control.TicketStatusRequest;
 
 /**
- * Uses the inner protocol. Every request is idempotent: a ticket by its number, a drain since it
- * states the whole new state.
+ * Sends operator requests over the inner protocol. Every request is idempotent and can be retried:
+ * a ticket is identified by its number, and a drain request contains the complete new state.
  */
 public final class RemoteControlGateway implements ControlGateway {
   private static final Duration TIMEOUT = Duration.ofSeconds(2);
 
   private final ControlClient control;
 
-  /** Sends through the given client. */
+  /** Creates a gateway that sends requests through the given client. */
   public RemoteControlGateway(ControlClient control) {
     this.control = control;
   }
--- a/alderyard-control/src/main/java/org/alderyard/control/operator/TicketException.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/operator/TicketException.java
@@ -6,13 +6,13 @@
 import org.alderyard.common.error.FieldFault;
 import org.alderyard.common.error.Outcome;
 
-/** A ticket that was not accepted, with each of its faults. */
+/** Thrown when a ticket is rejected because it is not valid; contains all faults of the ticket. */
 public final class TicketException extends AlderyardException {
   private static final long serialVersionUID = 1L;
 
   private final transient List<FieldFault> faults;
 
-  /** Creates the error of a ticket with faults. */
+  /** Creates an exception for a ticket; {@code faults} must not be empty. */
   public TicketException(long number, List<FieldFault> faults) {
     super(
         ErrorCode.TICKET_INVALID,
--- a/alderyard-control/src/main/java/org/alderyard/control/operator/TicketJson.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/operator/TicketJson.java
@@ -18,12 +18,12 @@
 import org.alderyard.protocol.generated.control.TicketVerdict;
 import org.alderyard.protocol.view.StateCodec;
 
-/** The answers of the control hosts as operators read them. */
+/** Converts replies of the control hosts to JSON for operators. */
 final class TicketJson {
 
   private TicketJson() {}
 
-  /** Returns an accepted ticket, or throws the typed error of one that is not. */
+  /** Returns an accepted ticket; throws an exception for any other verdict. */
   static JsonNode answer(SubmitTicketReply reply) {
     TicketAnswer answer = reply.getAnswer();
     return switch (answer.getVerdict()) {
@@ -33,7 +33,7 @@
               ErrorCode.TICKET_CONFLICT,
               "ticket "
                   + answer.getNumber()
-                  + " was accepted with other content: hash "
+                  + " was already accepted with different content: hash "
                   + hash(answer)
                   + " at version "
                   + StateCodec.version(answer.getAcceptedVersion())
@@ -43,18 +43,23 @@
       case FORGOTTEN -> throw forgotten(answer);
       case UNRECOGNIZED ->
           throw AlderyardException.unknown(
-              ErrorCode.INTERNAL, "the control host gave a verdict that this build lacks", null);
+              ErrorCode.INTERNAL,
+              "the control host returned a ticket verdict that this version does not support",
+              null);
     };
   }
 
-  /** It may be an accepted one that is sent again: nothing that it says may deny that. */
+  /**
+   * Returns the error for a number that is no longer remembered. The outcome is unknown, because
+   * the request may resend a ticket that was accepted earlier.
+   */
   private static AlderyardException forgotten(TicketAnswer answer) {
     return AlderyardException.unknown(
         ErrorCode.TICKET_FORGOTTEN,
         "ticket "
             + answer.getNumber()
-            + " is not applied now; whether it was accepted before is no longer remembered:"
-            + " look at the state of its objects; accepted are numbers above "
+            + " was not applied now; it is no longer known whether it was accepted earlier."
+            + " Check the state of its objects. New tickets need a number above "
             + answer.getFloor(),
         null);
   }
@@ -86,8 +91,8 @@
     return HexFormat.of().formatHex(answer.getContentHash().toByteArray());
   }
 
-  /** Returns one ticket, or the typed error of a number that was not accepted. */
-  static JsonNode one(long number, TicketStatusReply reply) {
+  /** Returns the ticket with the given number; throws NOT_FOUND if none was accepted. */
+  static JsonNode ticketStatus(long number, TicketStatusReply reply) {
     if (reply.getTicketsCount() == 0) {
       throw AlderyardException.notRun(ErrorCode.NOT_FOUND, "no ticket " + number + " was accepted");
     }
@@ -107,7 +112,7 @@
   static JsonNode drain(String host, boolean draining, DrainHostReply reply) {
     if (reply.getFaultsCount() > 0) {
       throw AlderyardException.notRun(
-          ErrorCode.NOT_FOUND, "no host " + host + " runs or was named by a ticket");
+          ErrorCode.NOT_FOUND, "no host " + host + " is running or defined by a ticket");
     }
     return Json.object()
         .put("host", host)
--- a/alderyard-control/src/main/java/org/alderyard/control/operator/TicketParser.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/operator/TicketParser.java
@@ -18,10 +18,10 @@
 import org.alderyard.protocol.generated.state.Pool;
 
 /**
- * Reads a ticket from JSON.
+ * Parses a change ticket from JSON.
  *
- * <p>Each object states its whole new state: a field that is left out has its preset, whatever it
- * was before. {@code "removed": true} removes the object.
+ * <p>Each object specifies its complete new state: an omitted field gets its default, whatever its
+ * previous value. {@code "removed": true} removes the object.
  */
 public final class TicketParser {
   private static final long DEFAULT_MAX_STALENESS_MILLIS = 5_000;
@@ -51,33 +51,34 @@
   private TicketParser() {}
 
   /**
-   * What a body holds.
+   * Result of parsing a ticket.
    *
-   * @param ticket the ticket, as far as it could be read
-   * @param faults each part that could not be read
+   * @param ticket the parsed ticket; an invalid field has its default, and an object of an unknown
+   *     kind is omitted
+   * @param faults one fault for each invalid field; empty if the ticket is valid
    */
-  public record Parsed(Ticket ticket, List<FieldFault> faults) {}
+  public record ParsedTicket(Ticket ticket, List<FieldFault> faults) {}
 
-  /** Returns the ticket of this number that the body describes. */
-  public static Parsed parse(long number, JsonNode body) {
+  /** Parses {@code body} as the ticket with the given number; faults are returned, not thrown. */
+  public static ParsedTicket parse(long number, JsonNode body) {
     return new TicketParser().read(number, body);
   }
 
-  private Parsed read(long number, JsonNode body) {
-    new FieldReader("ticket", body, faults).allow(Set.of("objects"));
+  private ParsedTicket read(long number, JsonNode body) {
+    new FieldReader("ticket", body, faults).reportUnknownFields(Set.of("objects"));
     List<ObjectState> objects = new ArrayList<>();
-    int place = 0;
+    int index = 0;
     for (JsonNode node : body.path("objects")) {
-      object("objects[" + place + "]", node).ifPresent(objects::add);
-      place++;
+      object("objects[" + index + "]", node).ifPresent(objects::add);
+      index++;
     }
-    return new Parsed(TicketObjects.ticket(number, objects), List.copyOf(faults));
+    return new ParsedTicket(TicketObjects.ticket(number, objects), List.copyOf(faults));
   }
 
-  private Optional<ObjectState> object(String place, JsonNode node) {
+  private Optional<ObjectState> object(String path, JsonNode node) {
     String kind = node.path("kind").asText();
     String name = node.path(kind.equals("pool") ? "name" : "id").asText("");
-    FieldReader reader = new FieldReader(name.isEmpty() ? place : kind + "/" + name, node, faults);
+    FieldReader reader = new FieldReader(name.isEmpty() ? path : kind + "/" + name, node, faults);
     if (node.has(REMOVED)) {
       return removal(reader, kind, name);
     }
@@ -87,20 +88,20 @@
       case "host" -> Optional.of(ObjectState.newBuilder().setHostPolicy(host(reader)).build());
       case "keys" -> Optional.of(ObjectState.newBuilder().setKeyRing(keys(reader, node)).build());
       case "server" -> {
-        reader.add(REMOVED, "missing", "true; servers announce themselves");
+        reader.addFault(REMOVED, "missing", "true; servers announce themselves");
         yield Optional.empty();
       }
       default -> {
-        reader.add("kind", kind, "pool, group, host, keys, server");
+        reader.addFault("kind", kind, "pool, group, host, keys, server");
         yield Optional.empty();
       }
     };
   }
 
   private static Optional<ObjectState> removal(FieldReader reader, String kind, String name) {
-    reader.allow(Set.of("kind", kind.equals("pool") ? "name" : "id", REMOVED));
+    reader.reportUnknownFields(Set.of("kind", kind.equals("pool") ? "name" : "id", REMOVED));
     if (!reader.flag(REMOVED, true)) {
-      reader.add(REMOVED, "false", "true, or nothing");
+      reader.addFault(REMOVED, "false", "true, or omit the field");
     }
     ObjectState.Builder object = ObjectState.newBuilder();
     switch (kind) {
@@ -109,7 +110,7 @@
       case "host" -> object.setRemovedHostPolicy(name);
       case "server" -> object.setRemovedServer(name);
       default -> {
-        reader.add("kind", kind, "pool, group, host, server");
+        reader.addFault("kind", kind, "pool, group, host, server");
         return Optional.empty();
       }
     }
@@ -117,14 +118,14 @@
   }
 
   private static Pool pool(FieldReader reader) {
-    reader.allow(POOL_FIELDS);
+    reader.reportUnknownFields(POOL_FIELDS);
     String acknowledgement = reader.text("writeAcknowledgement", MAJORITY);
     if (!Set.of(MAJORITY, PRIMARY_ONLY).contains(acknowledgement)) {
-      reader.add("writeAcknowledgement", acknowledgement, MAJORITY + ", " + PRIMARY_ONLY);
+      reader.addFault("writeAcknowledgement", acknowledgement, MAJORITY + ", " + PRIMARY_ONLY);
     }
     return Pool.newBuilder()
         .setName(reader.text("name", ""))
-        .addAllGroups(reader.texts("groups"))
+        .addAllGroups(reader.textList("groups"))
         .setPrimaryOnlyAcknowledgement(acknowledgement.equals(PRIMARY_ONLY))
         .setMaxStalenessMillis(
             reader.number("maxStalenessMillis", DEFAULT_MAX_STALENESS_MILLIS, Long.MAX_VALUE))
@@ -133,7 +134,7 @@
   }
 
   private static Group group(FieldReader reader) {
-    reader.allow(GROUP_FIELDS);
+    reader.reportUnknownFields(GROUP_FIELDS);
     return Group.newBuilder()
         .setId(reader.text("id", ""))
         .setSlotsPerServer(reader.integer("slotsPerServer", DEFAULT_SLOTS))
@@ -142,11 +143,11 @@
   }
 
   private static HostPolicy host(FieldReader reader) {
-    reader.allow(HOST_FIELDS);
-    List<String> roles = reader.texts("roles");
+    reader.reportUnknownFields(HOST_FIELDS);
+    List<String> roles = reader.textList("roles");
     for (String role : roles) {
       if (!Set.of(PROXY, CONTROL).contains(role)) {
-        reader.add("roles", role, PROXY + ", " + CONTROL);
+        reader.addFault("roles", role, PROXY + ", " + CONTROL);
       }
     }
     return HostPolicy.newBuilder()
@@ -158,27 +159,27 @@
   }
 
   private KeyRing keys(FieldReader reader, JsonNode node) {
-    reader.allow(KEYS_FIELDS);
+    reader.reportUnknownFields(KEYS_FIELDS);
     KeyRing.Builder ring = KeyRing.newBuilder();
-    int place = 0;
+    int index = 0;
     for (JsonNode key : node.path("keys")) {
-      FieldReader fields = new FieldReader("keys[" + place + "]", key, faults);
-      fields.allow(KEY_FIELDS);
+      FieldReader fields = new FieldReader("keys[" + index + "]", key, faults);
+      fields.reportUnknownFields(KEY_FIELDS);
       ring.addKeys(
           Key.newBuilder()
               .setId(fields.integer("id", 0))
               .setSecret(secret(fields, key.path("secretBase64").asText())));
-      place++;
+      index++;
     }
     return ring.build();
   }
 
-  /** A secret that can't be read is not repeated in the fault. */
+  /** Decodes a secret. The fault for malformed base64 contains only the length, not the secret. */
   private static ByteString secret(FieldReader reader, String text) {
     try {
       return ByteString.copyFrom(Base64.getDecoder().decode(text));
-    } catch (IllegalArgumentException wrong) {
-      reader.add("secretBase64", text.length() + " characters", "base64");
+    } catch (IllegalArgumentException malformed) {
+      reader.addFault("secretBase64", text.length() + " characters", "base64");
       return ByteString.EMPTY;
     }
   }
--- a/alderyard-control/src/main/java/org/alderyard/control/operator/ViewJson.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/operator/ViewJson.java
@@ -9,7 +9,7 @@
 import org.alderyard.common.id.ServerId;
 import org.alderyard.common.view.View;
 
-/** The state of the system as operators read it. */
+/** Renders the pools, groups, servers and hosts of a view as JSON for operators. */
 final class ViewJson {
 
   private ViewJson() {}
@@ -64,7 +64,7 @@
                     .put("incarnation", server.incarnation())
                     .put("group", server.group().value())
                     .put("zone", server.zone().value())
-                    .put("address", text(server.address()))
+                    .put("address", hostAndPort(server.address()))
                     .put("status", server.status().name().toLowerCase(Locale.ROOT)));
     return body;
   }
@@ -81,8 +81,8 @@
                     .put("id", host.id().value())
                     .put("incarnation", host.incarnation())
                     .put("zone", host.zone().value())
-                    .put("innerAddress", text(host.innerAddress()))
-                    .put("callerAddress", text(host.callerAddress()))
+                    .put("innerAddress", hostAndPort(host.innerAddress()))
+                    .put("callerAddress", hostAndPort(host.callerAddress()))
                     .put("proxy", host.proxy())
                     .put("control", host.control())
                     .put("draining", host.draining()));
@@ -93,7 +93,7 @@
     return Json.object().put("viewVersion", view.version().toString());
   }
 
-  private static String text(InetSocketAddress address) {
+  private static String hostAndPort(InetSocketAddress address) {
     return address.getHostString() + ":" + address.getPort();
   }
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/operator/package-info.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/operator/package-info.java
@@ -1,2 +1,2 @@
-/** The operators' port: tickets and the state of the system. */
+/** HTTP API for operators: change tickets, host drains and the state of the cluster. */
 package org.alderyard.control.operator;
--- a/alderyard-control/src/main/java/org/alderyard/control/package-info.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/package-info.java
@@ -1,2 +1,2 @@
-/** Replicated log, tickets, membership, registry and failover. */
+/** Control plane: replicated log, change tickets, membership, registry and failover. */
 package org.alderyard.control;
--- a/alderyard-control/src/test/java/org/alderyard/control/operator/TicketJsonTest.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/operator/TicketJsonTest.java
@@ -11,26 +11,26 @@
 import org.alderyard.protocol.generated.control.TicketVerdict;
 import org.junit.jupiter.api.Test;
 
-/** What operators are told of a ticket that is not accepted now. */
+/** Tests the errors that operators receive for tickets that are not accepted. */
 class TicketJsonTest {
-  private static AlderyardException told(TicketVerdict verdict) {
+  private static AlderyardException refusal(TicketVerdict verdict) {
     TicketAnswer answer = TicketAnswer.newBuilder().setNumber(4).setVerdict(verdict).build();
     return assertThrows(
         AlderyardException.class,
         () -> TicketJson.answer(SubmitTicketReply.newBuilder().setAnswer(answer).build()));
   }
 
-  /** Guards against a denial of a ticket that was accepted long ago and is sent again. */
+  /** Guards against reporting NOT_RUN for a resent ticket that was accepted long ago. */
   @Test
-  void forgottenTicketMayHaveRun() {
-    AlderyardException told = told(TicketVerdict.FORGOTTEN);
+  void forgottenTicketHasUnknownOutcome() {
+    AlderyardException refusal = refusal(TicketVerdict.FORGOTTEN);
 
-    assertThat(told.code()).isEqualTo(ErrorCode.TICKET_FORGOTTEN);
-    assertThat(told.outcome()).isEqualTo(Outcome.OUTCOME_UNKNOWN);
+    assertThat(refusal.code()).isEqualTo(ErrorCode.TICKET_FORGOTTEN);
+    assertThat(refusal.outcome()).isEqualTo(Outcome.OUTCOME_UNKNOWN);
   }
 
   @Test
-  void otherContentUnderTheNumberDidNotRun() {
-    assertThat(told(TicketVerdict.CONFLICT).outcome()).isEqualTo(Outcome.NOT_RUN);
+  void conflictingTicketDidNotRun() {
+    assertThat(refusal(TicketVerdict.CONFLICT).outcome()).isEqualTo(Outcome.NOT_RUN);
   }
 }
