--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/reads/OverloadModel.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/reads/OverloadModel.java
@@ -9,11 +9,11 @@
 import java.util.function.IntFunction;
 import org.HdrHistogram.Histogram;
 import org.alderyard.common.id.PoolName;
+import org.alderyard.proxy.limit.AdmissionResult;
 import org.alderyard.proxy.limit.ConcurrencyLimit;
-import org.alderyard.proxy.limit.Entrant;
 import org.alderyard.proxy.limit.Flow;
-import org.alderyard.proxy.limit.GateChange;
-import org.alderyard.proxy.limit.ServerGate;
+import org.alderyard.proxy.limit.QueuedStatement;
+import org.alderyard.proxy.limit.ServerLimiter;
 
 /**
  * Twelve proxies before one server with five slots, and more work than it can do.
@@ -41,7 +41,7 @@
   private final EventQueue queue = new EventQueue();
   private final SplittableRandom random;
   private final Optional<IntFunction<ConcurrencyLimit>> limits;
-  private final List<ServerGate<Statement>> gates = new ArrayList<>();
+  private final List<ServerLimiter<Statement>> limiters = new ArrayList<>();
   private final ArrayDeque<Statement> atServer = new ArrayDeque<>();
   private int running;
   private final Result result = new Result();
@@ -51,7 +51,7 @@
     random = new SplittableRandom(seed);
     this.limits = limits;
     for (int proxy = 0; proxy < PROXIES; proxy++) {
-      limits.ifPresent(factory -> gates.add(new ServerGate<>(factory.apply(SLOTS), QUEUE)));
+      limits.ifPresent(factory -> limiters.add(new ServerLimiter<>(factory.apply(SLOTS), QUEUE)));
     }
   }
 
@@ -73,36 +73,37 @@
     }
     int caller = random.nextBoolean() ? 0 : 1 + random.nextInt(CALLERS - 1);
     result.offered[caller == 0 ? 0 : 1]++;
-    enter(new Statement(random.nextInt(PROXIES), caller, queue.now(), queue.now() + DEADLINE));
+    submit(new Statement(random.nextInt(PROXIES), caller, queue.now(), queue.now() + DEADLINE));
     long gap = (long) (-Math.log(1 - random.nextDouble()) * meanGap);
     queue.after(gap, () -> arrive(meanGap, end));
   }
 
   private void sweep(long end) {
     for (int proxy = 0; proxy < PROXIES; proxy++) {
-      perform(gates.get(proxy).sweep(queue.now()));
+      perform(limiters.get(proxy).sweep(queue.now()));
     }
     if (queue.now() < end + DEADLINE) {
       queue.after(SWEEP, () -> sweep(end));
     }
   }
 
-  private void enter(Statement statement) {
+  private void submit(Statement statement) {
     if (limits.isEmpty()) {
       send(statement);
       return;
     }
     Flow flow = new Flow(POOL, "caller-" + statement.caller);
-    Entrant<Statement> entrant = new Entrant<>(flow, false, statement.deadlineNanos, statement);
-    perform(gates.get(statement.proxy).enter(entrant, queue.now()));
+    QueuedStatement<Statement> queued =
+        new QueuedStatement<>(flow, false, statement.deadlineNanos, statement);
+    perform(limiters.get(statement.proxy).submit(queued, queue.now()));
   }
 
-  private void perform(GateChange<Statement> change) {
-    change.started().forEach(entrant -> send(entrant.work()));
-    change.refused().forEach(refused -> refused(refused.entrant().work(), refused));
+  private void perform(AdmissionResult<Statement> admission) {
+    admission.started().forEach(queued -> send(queued.work()));
+    admission.refused().forEach(refused -> refused(refused.statement().work(), refused));
   }
 
-  private void refused(Statement statement, GateChange.Refused<Statement> refusal) {
+  private void refused(Statement statement, AdmissionResult.Refused<Statement> refusal) {
     long again = refusal.retryAfterMillis() * MILLI;
     boolean worthAnother = !statement.resent && queue.now() + again < statement.deadlineNanos;
     if (!worthAnother) {
@@ -110,7 +111,7 @@
       return;
     }
     statement.resent = true;
-    queue.after(again, () -> enter(statement));
+    queue.after(again, () -> submit(statement));
   }
 
   private void send(Statement statement) {
@@ -145,7 +146,7 @@
     result.answered(statement.caller, inTime, queue.now() - statement.bornNanos);
     if (limits.isPresent()) {
       long latency = queue.now() - statement.sentNanos;
-      perform(gates.get(statement.proxy).leave(false, latency, true, queue.now()));
+      perform(limiters.get(statement.proxy).complete(false, latency, true, queue.now()));
     }
   }
 
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/reads/ReadsBenchmark.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/reads/ReadsBenchmark.java
@@ -12,7 +12,7 @@
 import org.alderyard.proxy.limit.ConcurrencyLimit;
 import org.alderyard.proxy.limit.FixedLimit;
 import org.alderyard.proxy.limit.GradientLimit;
-import org.alderyard.proxy.limit.LeasedSlots;
+import org.alderyard.proxy.limit.LeaseShareLimit;
 import org.alderyard.proxy.routing.ReadRouter;
 import org.alderyard.proxy.routing.ServerChooser;
 
@@ -111,7 +111,7 @@
     ways.put("3 AIMD", Optional.of(AimdLimit::new));
     ways.put("4 gradient", Optional.of(GradientLimit::new));
     // Twelve proxies with the same demand have the same lease: 31 of 35 connections, 2 or 3 each.
-    ways.put("5 leased slots", Optional.of(slots -> new LeasedSlots(slots, () -> 2, () -> 35)));
+    ways.put("5 leased slots", Optional.of(slots -> new LeaseShareLimit(slots, () -> 2, () -> 35)));
     System.out.println();
     System.out.println(
         "| limit | load | goodput /s | of peak % | late answers % | others in time % | p50 ms |"
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/reads/ReplicaShareModel.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/reads/ReplicaShareModel.java
@@ -21,7 +21,7 @@
 import org.alderyard.proxy.routing.Candidate;
 import org.alderyard.proxy.routing.ReadRequest;
 import org.alderyard.proxy.routing.ServerLoad;
-import org.alderyard.proxy.session.Requirement;
+import org.alderyard.proxy.session.ReadRequirement;
 
 /**
  * One group with two replicas, two proxies, coordinators that write and read back, and browsers.
@@ -66,7 +66,7 @@
     state = new GroupState(GROUP, 1, Optional.of(servers.get(0).id()), List.of(), 5, 35);
     for (int proxy = 0; proxy < PROXIES; proxy++) {
       GroupFreshness freshness = new GroupFreshness();
-      freshness.follow(state, servers.size());
+      freshness.onViewChange(state, servers.size());
       known.add(freshness);
     }
   }
@@ -139,12 +139,14 @@
   private void read(Caller caller, int proxy) {
     long started = queue.now();
     GroupFreshness freshness = known.get(proxy);
-    Requirement requirement =
-        caller.seen == 0 ? Requirement.NONE : Requirement.atLeast(new Position(1, caller.seen));
+    ReadRequirement requirement =
+        caller.seen == 0
+            ? ReadRequirement.NONE
+            : ReadRequirement.atLeast(new Position(1, caller.seen));
     ReadDemand demand =
         caller.coordinator
             ? ReadDemand.session(requirement)
-            : ReadDemand.bounded(BROWSING_STALENESS, Requirement.NONE);
+            : ReadDemand.bounded(BROWSING_STALENESS, ReadRequirement.NONE);
     List<Candidate> candidates =
         servers.stream()
             .map(server -> new Candidate(server, ServerLoad.IDLE, freshness.of(server.id())))
@@ -154,7 +156,7 @@
             state,
             candidates,
             demand,
-            freshness.reachedBy(demand.requirement().position()),
+            freshness.writtenBy(demand.requirement().position()),
             Integer.MAX_VALUE,
             started,
             DEADLINE);
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/writes/WritesBenchmark.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/writes/WritesBenchmark.java
@@ -71,13 +71,13 @@
                     .getMap());
     connector = new HttpConnector(ioWorker, workers);
     ViewHolder views = new ViewHolder();
-    views.offer(group.view());
+    views.updateIfNewer(group.view());
     writes =
         new WritePath(
             views,
             new ServerPools(connector),
             new HttpServerAdmin(connector),
-            new RetryBudget(RetryBudget.DEFAULT_SHARE, RetryBudget.DEFAULT_SAVED),
+            new RetryBudget(RetryBudget.DEFAULT_SHARE, RetryBudget.DEFAULT_MAX_RESENDS),
             WriteAdmission.OPEN,
             id -> false,
             () -> true,
--- a/alderyard-benchmarks/src/test/java/org/alderyard/benchmarks/reads/ReadsBoundsTest.java
+++ b/alderyard-benchmarks/src/test/java/org/alderyard/benchmarks/reads/ReadsBoundsTest.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 import org.alderyard.common.id.ZoneName;
-import org.alderyard.proxy.limit.LeasedSlots;
+import org.alderyard.proxy.limit.LeaseShareLimit;
 import org.alderyard.proxy.routing.ReadRouter;
 import org.alderyard.proxy.routing.ServerChooser;
 import org.junit.jupiter.api.Test;
@@ -55,7 +55,8 @@
   }
 
   private static OverloadModel.Result overload(double load) {
-    return new OverloadModel(SEED, Optional.of(slots -> new LeasedSlots(slots, () -> 2, () -> 35)))
+    return new OverloadModel(
+            SEED, Optional.of(slots -> new LeaseShareLimit(slots, () -> 2, () -> 35)))
         .run(load, 20);
   }
 }
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/HttpStack.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/HttpStack.java
@@ -23,7 +23,7 @@
 import org.alderyard.proxy.drain.RequestsInFlight;
 import org.alderyard.proxy.lease.LeaseClient;
 import org.alderyard.proxy.lease.LeaseTable;
-import org.alderyard.proxy.lease.PeakWish;
+import org.alderyard.proxy.lease.PeakConnectionTarget;
 import org.alderyard.proxy.limit.PoolLimits;
 import org.alderyard.proxy.monitor.GroupMonitor;
 import org.alderyard.proxy.pool.PacedConnector;
@@ -32,7 +32,7 @@
 import org.alderyard.proxy.session.SessionTokens;
 import org.alderyard.proxy.statement.StatementService;
 import org.alderyard.proxy.transaction.TransactionService;
-import org.alderyard.proxy.view.KnownPools;
+import org.alderyard.proxy.view.PoolLookup;
 import org.alderyard.proxy.view.ViewHolder;
 import org.alderyard.proxy.watch.WatchOptions;
 import org.alderyard.proxy.watch.WatcherService;
@@ -85,7 +85,7 @@
             connector,
             host.clock,
             host.workers,
-            () -> PacedConnector.share(proxies(views)),
+            () -> PacedConnector.ratePerProxy(proxies(views)),
             PacedConnector.DEFAULT_BURST);
     ServerPools pools = host.part(new ServerPools(paced, leases));
     ReadStack reads =
@@ -106,7 +106,7 @@
             views,
             leases,
             pools,
-            new PeakWish(reads.gates()::takePeakQueued))
+            new PeakConnectionTarget(reads.limiters()::takePeakQueued))
         .start(host.controlWorkers);
     SessionTokens tokens = new SessionTokens(host.wallClock, settings.maxTokenAge());
     WriteStack writes =
@@ -117,21 +117,27 @@
             monitor,
             admin,
             pools,
-            reads.gates(),
+            reads.limiters(),
             host.workers,
             host.clock,
             host.wallClock,
             host.links);
     writes.feed(watchers);
     writes.serveLedger(host.dispatcher, inFlight);
-    KnownPools known = new KnownPools(host.viewClient::leaseValid);
+    PoolLookup poolLookup = new PoolLookup(host.viewClient::leaseValid);
     StatementService statements =
         new StatementService(
-            views, known, tokens, new PoolLimits(), reads.path(), writes.ledgered(), monitor);
+            views,
+            poolLookup,
+            tokens,
+            new PoolLimits(),
+            reads.path(),
+            writes.writeExecutor(),
+            monitor);
     TransactionService held = host.part(writes.transactions());
     held.start(host.workers);
     TransactionApi transactions =
-        writes.serveTransactions(held, known, tokens, host.dispatcher, host.links, inFlight);
+        writes.serveTransactions(held, poolLookup, tokens, host.dispatcher, host.links, inFlight);
     AnnouncementHandler announcements = new AnnouncementHandler(host.control);
     settings
         .announcementAddress()
@@ -204,7 +210,7 @@
       // The balancer and the callers turn to other hosts; meanwhile connections are kept.
       TimeUnit.MILLISECONDS.sleep(host.settings.drainLinger().toMillis());
       callerPort.ifPresent(HttpPort::close);
-      callerApi.ifPresent(CallerApi::endConnections);
+      callerApi.ifPresent(CallerApi::closeKeepAliveConnections);
       // Callers with a kept connection learn from their next answer that it ends.
       TimeUnit.MILLISECONDS.sleep(host.settings.drainLinger().toMillis());
       log.info("event=drain-end reason=NOTHING_IN_FLIGHT");
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/SessionStack.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/SessionStack.java
@@ -14,7 +14,7 @@
 import org.alderyard.proxy.callersession.SessionService;
 import org.alderyard.proxy.lease.LeaseClient;
 import org.alderyard.proxy.lease.LeaseTable;
-import org.alderyard.proxy.lease.SteadyWish;
+import org.alderyard.proxy.lease.SmoothedConnectionTarget;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -61,7 +61,7 @@
   SessionStack(HostContext host, SessionOptions options) {
     this.host = host;
     this.options = options;
-    LeaseTable leases = new LeaseTable(host.clock, this::firstConnections);
+    LeaseTable leases = new LeaseTable(host.clock, this::initialConnections);
     sessions =
         new SessionService(
             host.views,
@@ -83,12 +83,12 @@
             host.views,
             leases,
             sessions.pools(),
-            new SteadyWish(sessions.pools()::takeMeanDemand))
+            new SmoothedConnectionTarget(sessions.pools()::takeMeanDemand))
         .start(host.workers, LEASE_INTERVAL);
   }
 
-  private int firstConnections(ServerId server) {
-    return sessions.firstConnections(server);
+  private int initialConnections(ServerId server) {
+    return sessions.initialConnections(server);
   }
 
   /**
@@ -110,8 +110,8 @@
                     host.workers,
                     host.clock)));
     log.info("event=listening port=callers address={}", host.settings.callerAddress());
-    sessions.startReports(host.control, host.settings.host());
-    sessions.joinHosts(host.dispatcher, host.links, host.statementLinks, host.self);
+    sessions.startPrimaryReports(host.control, host.settings.host());
+    sessions.connectToHosts(host.dispatcher, host.links, host.statementLinks, host.self);
   }
 
   /**
@@ -186,14 +186,14 @@
     log.info(
         "event=drain-begin sessions={} held-transactions={}",
         sessions.sessionCount(),
-        sessions.heldTransactions());
-    sessions.stopHolding();
+        sessions.heldTransactionCount());
+    sessions.stopAcceptingForwarded();
     try {
       waitUntil(startNanos, BALANCER_SHARE);
       sessions.drain();
       closeIdleUntil(startNanos, TRANSACTION_SHARE);
       callers.get().abortTransactions();
-      sessions.abortHeld();
+      sessions.rollBackHeldTransactions();
       closeIdleUntil(startNanos, END_SHARE);
     } catch (InterruptedException stopped) {
       Thread.currentThread().interrupt();
@@ -202,7 +202,7 @@
   }
 
   private boolean inUse() {
-    return sessions.sessionCount() > 0 || sessions.heldTransactions() > 0;
+    return sessions.sessionCount() > 0 || sessions.heldTransactionCount() > 0;
   }
 
   private void waitUntil(long startNanos, double share) throws InterruptedException {
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/WriteStack.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/WriteStack.java
@@ -13,20 +13,20 @@
 import org.alderyard.proxy.drain.RequestsInFlight;
 import org.alderyard.proxy.ledger.LedgerLimits;
 import org.alderyard.proxy.ledger.LedgerSupport;
-import org.alderyard.proxy.ledger.LedgeredWrites;
 import org.alderyard.proxy.ledger.OwnerLedger;
-import org.alderyard.proxy.limit.Gates;
+import org.alderyard.proxy.ledger.WriteExecutor;
 import org.alderyard.proxy.limit.RetryBudget;
+import org.alderyard.proxy.limit.ServerLimiters;
 import org.alderyard.proxy.monitor.GroupMonitor;
 import org.alderyard.proxy.pool.ServerPools;
 import org.alderyard.proxy.session.SessionTokens;
 import org.alderyard.proxy.transaction.TransactionLimits;
 import org.alderyard.proxy.transaction.TransactionService;
-import org.alderyard.proxy.view.KnownPools;
+import org.alderyard.proxy.view.PoolLookup;
 import org.alderyard.proxy.view.ViewClient;
 import org.alderyard.proxy.view.ViewHolder;
 import org.alderyard.proxy.watch.WatcherService;
-import org.alderyard.proxy.write.GatedWrites;
+import org.alderyard.proxy.write.LimiterWriteAdmission;
 import org.alderyard.proxy.write.WritePath;
 
 /** The parts of a proxy that change data: writes, their ledgers and transactions. */
@@ -46,7 +46,7 @@
       GroupMonitor monitor,
       ServerAdmin admin,
       ServerPools pools,
-      Gates gates,
+      ServerLimiters limiters,
       WorkerPool workers,
       MonotonicClock clock,
       InstantSource wallClock,
@@ -61,8 +61,8 @@
             views,
             pools,
             admin,
-            new RetryBudget(RetryBudget.DEFAULT_SHARE, RetryBudget.DEFAULT_SAVED),
-            new GatedWrites(gates, views),
+            new RetryBudget(RetryBudget.DEFAULT_SHARE, RetryBudget.DEFAULT_MAX_RESENDS),
+            new LimiterWriteAdmission(limiters, views),
             ledgerOnServers,
             viewClient::leaseValid,
             workers,
@@ -79,24 +79,24 @@
             workers,
             clock,
             wallClock);
-    viewClient.onLeaseLapsed(owner::viewLeaseLapsed);
+    viewClient.onLeaseLapsed(owner::onViewLeaseRegained);
   }
 
   /** Makes the watchers look at once at a primary whose connections are refused or break. */
   void feed(WatcherService watchers) {
-    writes.onPrimaryLost(watchers::requestFailed);
+    writes.onPrimaryConnectionLost(watchers::requestFailed);
   }
 
   /** Returns the way of single writes. */
-  LedgeredWrites ledgered() {
-    return new LedgeredWrites(writes, ledgerOnServers, owner);
+  WriteExecutor writeExecutor() {
+    return new WriteExecutor(writes, ledgerOnServers, owner);
   }
 
   /** Serves the writes that other proxies pass on to this one as the owner of their ids. */
   void serveLedger(Dispatcher dispatcher, RequestsInFlight inFlight) {
     dispatcher.serve(
         DataMethods.RUN_OWNED_WRITE,
-        (peer, request) -> inFlight.runToTheEnd(() -> owner.serve(request)));
+        (peer, request) -> inFlight.runEvenIfDraining(() -> owner.serve(request)));
   }
 
   /** Returns a holder of transactions. */
@@ -114,7 +114,7 @@
   /** Serves the transactions of a holder, for callers and for other proxies. */
   TransactionApi serveTransactions(
       TransactionService held,
-      KnownPools known,
+      PoolLookup poolLookup,
       SessionTokens tokens,
       Dispatcher dispatcher,
       PeerLinks links,
@@ -123,7 +123,7 @@
         new TransactionApi(
             self.id(),
             views,
-            known,
+            poolLookup,
             held,
             tokens,
             (holder, request, timeout) ->
@@ -133,7 +133,7 @@
             inFlight);
     dispatcher.serve(
         DataMethods.FORWARD_TRANSACTION,
-        (peer, request) -> inFlight.runToTheEnd(() -> api.serve(request)));
+        (peer, request) -> inFlight.runEvenIfDraining(() -> api.serve(request)));
     return api;
   }
 }
--- a/alderyard-daemon/src/test/java/org/alderyard/daemon/ReturnOfAllHostsTest.java
+++ b/alderyard-daemon/src/test/java/org/alderyard/daemon/ReturnOfAllHostsTest.java
@@ -10,9 +10,9 @@
 import org.alderyard.control.grant.GrantLedger;
 import org.alderyard.control.grant.GrantOptions;
 import org.alderyard.control.grant.ProxyId;
-import org.alderyard.proxy.lease.ConnectionWish;
-import org.alderyard.proxy.lease.PeakWish;
-import org.alderyard.proxy.lease.SteadyWish;
+import org.alderyard.proxy.lease.ConnectionTarget;
+import org.alderyard.proxy.lease.PeakConnectionTarget;
+import org.alderyard.proxy.lease.SmoothedConnectionTarget;
 import org.alderyard.proxy.pool.PoolUse;
 import org.junit.jupiter.api.Test;
 
@@ -22,7 +22,7 @@
  * no room when they came back, and their callers were refused until the server had noticed.
  *
  * <p>Eleven hosts with work for 0.4 connections on average and for two in their peaks; grants and
- * wishes are the real ones, the server is a counter.
+ * targets are the real ones, the server is a counter.
  */
 class ReturnOfAllHostsTest {
   private static final int ACCEPTED = 25;
@@ -34,7 +34,7 @@
   private static final int CALM_RENEWALS = 20;
 
   /** What hosts hold after a while, each at least what it may have without a grant. */
-  private static int heldInTheEnd(GrantOptions options, ConnectionWish wish, int withoutGrant) {
+  private static int heldInTheEnd(GrantOptions options, ConnectionTarget target, int withoutGrant) {
     GrantLedger ledger = new GrantLedger(options, -60 * SECOND);
     List<Integer> held = new ArrayList<>();
     for (int host = 0; host < HOSTS; host++) {
@@ -43,9 +43,10 @@
     for (int renewal = 1; renewal <= CALM_RENEWALS; renewal++) {
       for (int host = 0; host < HOSTS; host++) {
         ProxyId proxy = new ProxyId(new HostId("h" + host), 1);
-        int wanted = wish.wanted(SERVER, PEAK);
+        int targetConnections = target.targetConnections(SERVER, PEAK);
         long now = renewal * SECOND;
-        int granted = ledger.renew(ACCEPTED, true, proxy, renewal, held.get(host), wanted, now);
+        int granted =
+            ledger.renew(ACCEPTED, true, proxy, renewal, held.get(host), targetConnections, now);
         held.set(host, Math.max(withoutGrant, granted));
       }
     }
@@ -59,14 +60,15 @@
 
   @Test
   void allHostsFindRoomWhileTheServerCountsTheDeadConnections() {
-    int dead = heldInTheEnd(GrantOptions.ADVISORY, new SteadyWish(server -> MEAN_DEMAND), 1);
+    int dead =
+        heldInTheEnd(GrantOptions.ADVISORY, new SmoothedConnectionTarget(server -> MEAN_DEMAND), 1);
 
     assertThat(refusedOnReturn(dead, 1)).isEqualTo(0);
   }
 
   @Test
   void hostsThatShareAllConnectionsByTheirPeaksFindNone() {
-    int dead = heldInTheEnd(GrantOptions.DEFAULT, new PeakWish(server -> 0), 2);
+    int dead = heldInTheEnd(GrantOptions.DEFAULT, new PeakConnectionTarget(server -> 0), 2);
 
     assertThat(refusedOnReturn(dead, 2)).isGreaterThan(HOSTS);
   }
--- a/alderyard-daemon/src/test/java/org/alderyard/daemon/SlotsTest.java
+++ b/alderyard-daemon/src/test/java/org/alderyard/daemon/SlotsTest.java
@@ -31,7 +31,7 @@
 
   /**
    * A packing floor sends sixty orders at once. The primary has two slots and takes 100 ms for
-   * each; writes once went around the gate, and the server got all of them together and refused
+   * each; writes once went around the limiter, and the server got all of them together and refused
    * what its own queue could not hold. Then the proxy held them back, but asked for the connections
    * of one statement at a time, and the last orders ran out of time. Now it asks for what waits.
    */
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/api/CallerApi.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/api/CallerApi.java
@@ -81,7 +81,7 @@
    * the port still accepts connections, a caller whose connection is closed opens a new connection
    * to this host, and a connection that is being established when the port closes is cut.
    */
-  public void endConnections() {
+  public void closeKeepAliveConnections() {
     closingConnections = true;
   }
 
@@ -144,7 +144,7 @@
     JsonExchange.handle(
         exchange,
         body ->
-            inFlight.runToTheEnd(
+            inFlight.runEvenIfDraining(
                 () -> reply(exchange, transactions.request(request(exchange, action, body)))));
   }
 
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/api/TransactionApi.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/api/TransactionApi.java
@@ -28,7 +28,7 @@
 import org.alderyard.proxy.statement.StatementRequest;
 import org.alderyard.proxy.transaction.TransactionId;
 import org.alderyard.proxy.transaction.TransactionService;
-import org.alderyard.proxy.view.KnownPools;
+import org.alderyard.proxy.view.PoolLookup;
 import org.alderyard.proxy.view.ViewHolder;
 import org.alderyard.proxy.write.WriteAnswer;
 
@@ -41,7 +41,7 @@
 
   private final HostId host;
   private final ViewHolder views;
-  private final KnownPools pools;
+  private final PoolLookup pools;
   private final TransactionService transactions;
   private final SessionTokens tokens;
   private final HolderLink link;
@@ -51,7 +51,7 @@
   public TransactionApi(
       HostId host,
       ViewHolder views,
-      KnownPools pools,
+      PoolLookup pools,
       TransactionService transactions,
       SessionTokens tokens,
       HolderLink link,
@@ -84,7 +84,7 @@
         .thenApply(
             id -> {
               // An open transaction counts as in flight until it ends, so a shutdown waits for it.
-              inFlight.runToTheEnd(() -> transactions.ended(id));
+              inFlight.runEvenIfDraining(() -> transactions.whenEnded(id));
               return new Reply(Json.object().put("transactionId", id.toString()), Optional.empty());
             });
   }
@@ -96,7 +96,7 @@
   /** Runs a request of an open transaction, or forwards it to the holder of the transaction. */
   CompletableFuture<Reply> request(ForwardRequest request) {
     TransactionId id = TransactionId.parse(request.getTransactionId());
-    if (transactions.holds(id)) {
+    if (transactions.isHolderOf(id)) {
       return runLocally(id, request);
     }
     if (request.getHops() >= MAX_HOPS) {
@@ -206,8 +206,8 @@
     View view = views.current();
     // Validates the token before the commit is sent, so an invalid token cannot turn a completed
     // commit into a refusal.
-    SessionState session = tokens.read(request.getSessionToken(), pool, view);
-    tokens.write(session, view);
+    SessionState session = tokens.decode(request.getSessionToken(), pool, view);
+    tokens.encode(session, view);
     return transactions
         .commit(id, new CallerId(request.getCallerId()), deadline(request))
         .thenApply(answer -> commitReply(answer, session));
@@ -228,7 +228,7 @@
         .put("server", answer.server().value())
         .put("term", answer.position().term())
         .put("position", answer.position().index());
-    return new Reply(body, Optional.of(tokens.write(updatedSession, currentView)));
+    return new Reply(body, Optional.of(tokens.encode(updatedSession, currentView)));
   }
 
   private static Duration deadline(ForwardRequest request) {
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/CallerSession.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/CallerSession.java
@@ -33,8 +33,9 @@
  * The session of one caller: its values, prepared statements, last writes and transaction.
  *
  * <p>{@link #handle} is called for one statement at a time, after the reply to the previous one.
- * Only {@link #close()}, {@link #endIdleTransaction} and {@link #abort()} may run concurrently with
- * a statement; the state that they modify is in {@link OpenTransaction}, guarded by its lock.
+ * Only {@link #close()}, {@link #endIdleTransaction} and {@link #rollBackTransaction()} may run
+ * concurrently with a statement; the state that they modify is in {@link OpenTransaction}, guarded
+ * by its lock.
  */
 public final class CallerSession {
   private static final Logger log = LoggerFactory.getLogger(CallerSession.class);
@@ -45,7 +46,7 @@
    */
   private static final int MAX_ENTRIES = 1_000;
 
-  private final SessionParts parts;
+  private final SessionContext context;
   private final LocalStatements local;
   private final StatementForwarder forwarder;
   private final String databaseName;
@@ -58,7 +59,7 @@
   private volatile boolean closed;
 
   CallerSession(LocalStatements local, StatementForwarder forwarder, String databaseName) {
-    this.parts = local.parts();
+    this.context = local.context();
     this.local = local;
     this.forwarder = forwarder;
     this.databaseName = databaseName;
@@ -72,7 +73,7 @@
    */
   public CompletableFuture<SessionReply> handle(String id, SessionStatement statement) {
     busy = true;
-    long start = parts.clock().nowNanos();
+    long start = context.clock().nowNanos();
     CompletableFuture<SessionReply> result;
     try {
       result = dispatch(id, statement);
@@ -84,12 +85,12 @@
         .thenApply(
             reply -> {
               state = reply.state();
-              long now = parts.clock().nowNanos();
+              long now = context.clock().nowNanos();
               transaction.ifPresent(open -> open.endStatement(now));
               database()
                   .ifPresent(
                       database ->
-                          parts.metrics().recordStatement(database.reads(), reply, now - start));
+                          context.metrics().recordStatement(database.reads(), reply, now - start));
               busy = false;
               if (closed) {
                 rollBack();
@@ -164,7 +165,7 @@
   }
 
   private CompletableFuture<SessionReply> unknownDatabase() {
-    Refusal unknown = parts.unknownDatabase(databaseName);
+    Refusal unknown = context.unknownDatabase(databaseName);
     return refuse(unknown.code(), unknown.text(), TransactionState.NONE);
   }
 
@@ -189,12 +190,12 @@
     }
     transaction =
         Optional.of(
-            new OpenTransaction(database.get(), begin.readOnly(), parts.clock().nowNanos()));
+            new OpenTransaction(database.get(), begin.readOnly(), context.clock().nowNanos()));
     return succeed(TransactionState.OPEN);
   }
 
   private Optional<DatabaseState> database() {
-    return parts
+    return context
         .views()
         .current()
         .configuration()
@@ -316,7 +317,7 @@
         preparedStatement,
         database,
         values,
-        parts.clock().nowNanos() + timeoutNanos);
+        context.clock().nowNanos() + timeoutNanos);
   }
 
   private CompletableFuture<SessionReply> runOutsideTransaction(StatementTask task) {
@@ -338,7 +339,7 @@
   }
 
   private CompletableFuture<SessionReply> run(OpenTransaction open, StatementTask task) {
-    return new TransactionStatement(parts, new SessionTransactionOwner(), open, task)
+    return new TransactionStatement(context, new SessionTransactionOwner(), open, task)
         .run(forwarder, lastWrite(open.database()));
   }
 
@@ -347,7 +348,7 @@
   }
 
   private void recordWrite(DatabaseState database, SessionReply reply) {
-    long now = parts.clock().nowNanos();
+    long now = context.clock().nowNanos();
     reply
         .position()
         .ifPresent(
@@ -381,7 +382,7 @@
       return;
     }
     long idleMillis =
-        parts
+        context
             .views()
             .current()
             .configuration()
@@ -395,12 +396,12 @@
   }
 
   /** Rolls back the open transaction without a request of the caller, when this host shuts down. */
-  public void abort() {
+  public void rollBackTransaction() {
     transaction.ifPresent(CallerSession::rollBack);
   }
 
   /** Returns whether no transaction is open and no statement is running. */
-  public boolean idle() {
+  public boolean isIdle() {
     return !busy && state == TransactionState.NONE;
   }
 
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/ForwardedStatement.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/ForwardedStatement.java
@@ -29,7 +29,7 @@
  * that was sent is unknown.
  *
  * <p>Locking: guarded by the object's own lock, which is acquired before the locks of {@link
- * Holders} and of the resend budget. Holders are called after the lock is released.
+ * HolderSelector} and of the resend budget. Holders are called after the lock is released.
  */
 final class ForwardedStatement {
   private static final Logger log = LoggerFactory.getLogger(ForwardedStatement.class);
@@ -53,8 +53,8 @@
   private static final int MAX_HOLDERS = 2;
 
   private final HolderForwarder forwarder;
-  private final SessionParts parts;
-  private final Holders holders;
+  private final SessionContext context;
+  private final HolderSelector selector;
   private final StatementTask task;
   private final List<HostState> candidates;
   private final Optional<GroupRouting.Floor> lastWrite;
@@ -80,8 +80,8 @@
       Optional<GroupRouting.Floor> lastWrite,
       Optional<Boolean> readOnlyTransaction) {
     this.forwarder = forwarder;
-    this.parts = forwarder.parts();
-    this.holders = forwarder.holders();
+    this.context = forwarder.context();
+    this.selector = forwarder.selector();
     this.task = task;
     this.candidates = candidates;
     this.lastWrite = lastWrite;
@@ -93,17 +93,17 @@
    * holder.
    */
   CompletableFuture<Optional<StatementForwarder.ForwardedReply>> run() {
-    forwarder.resendBudget().firstTry();
+    forwarder.resendBudget().recordFirstAttempt();
     sendToNextHolder();
     return result;
   }
 
   private void sendToNextHolder() {
-    long now = parts.clock().nowNanos();
+    long now = context.clock().nowNanos();
     Optional<HostState> holder;
     synchronized (this) {
       boolean exhausted = task.deadlineNanos() - now <= 0 || triedHolders.size() >= MAX_HOLDERS;
-      holder = exhausted ? Optional.empty() : holders.selectBest(candidates, triedHolders, now);
+      holder = exhausted ? Optional.empty() : selector.selectBest(candidates, triedHolders, now);
       if (holder.isPresent()) {
         triedHolders.add(holder.get().id());
         inFlight++;
@@ -114,7 +114,7 @@
     }
     if (holder.isPresent()) {
       send(holder.get(), now);
-    } else if (refusedReply().isPresent() || holders.allUnresponsive(candidates, now)) {
+    } else if (refusedReply().isPresent() || selector.allUnresponsive(candidates, now)) {
       result.complete(refusedReply());
     } else {
       refuse(
@@ -129,7 +129,7 @@
 
   private void send(HostState holder, long sentNanos) {
     long transaction = readOnlyTransaction.isPresent() ? forwarder.nextTransactionNumber() : 0;
-    holders.started(holder);
+    selector.started(holder);
     scheduleReplyCheck(holder, sentNanos);
     forwarder
         .client()
@@ -144,7 +144,7 @@
             HolderForwarder.replyTimeout(task, sentNanos))
         .whenComplete(
             (reply, failure) -> {
-              holders.ended(holder);
+              selector.ended(holder);
               synchronized (this) {
                 inFlight--;
               }
@@ -172,8 +172,8 @@
     long delayMillis =
         Math.max(
             MIN_UNRESPONSIVE_MILLIS,
-            (long) (holders.latencyMillis(holder) * UNRESPONSIVE_LATENCY_FACTOR));
-    parts
+            (long) (selector.latencyMillis(holder) * UNRESPONSIVE_LATENCY_FACTOR));
+    context
         .workers()
         .schedule(
             Duration.ofMillis(delayMillis),
@@ -185,9 +185,9 @@
   }
 
   private void handleMissingReply(HostState holder, long sentNanos) {
-    long now = parts.clock().nowNanos();
-    if (!holders.answeredSince(holder, sentNanos, now)) {
-      holders.failed(holder, now);
+    long now = context.clock().nowNanos();
+    if (!selector.answeredSince(holder, sentNanos, now)) {
+      selector.failed(holder, now);
     }
     if (tryAcquireResend()) {
       sendToNextHolder();
@@ -203,21 +203,21 @@
       return false;
     }
     resent = true;
-    parts.metrics().sentTwice();
+    context.metrics().countReadResend();
     return true;
   }
 
   private void handleReply(
       HostState holder, long transaction, HeldStatementReply message, long sentNanos) {
-    long now = parts.clock().nowNanos();
-    holders.answered(holder, now, now - sentNanos);
+    long now = context.clock().nowNanos();
+    selector.answered(holder, now, now - sentNanos);
     SessionReply reply = HeldStatementCodec.reply(message);
     boolean transactionOpen = transaction != 0 && reply.state() == TransactionState.OPEN;
     Optional<TransactionLocation> location =
         transactionOpen
             ? Optional.of(new HeldElsewhere(forwarder, holder, transaction))
             : Optional.empty();
-    parts.metrics().countForwarded("answered");
+    context.metrics().countForwarded("answered");
     StatementForwarder.ForwardedReply forwarded =
         new StatementForwarder.ForwardedReply(reply, location);
     synchronized (this) {
@@ -233,13 +233,13 @@
   }
 
   private void handleFailure(HostState holder, long transaction, AlderyardException failure) {
-    long now = parts.clock().nowNanos();
-    holders.failed(holder, now);
+    long now = context.clock().nowNanos();
+    selector.failed(holder, now);
     boolean notRun = failure.outcome() == Outcome.NOT_RUN;
     if (!notRun && transaction != 0) {
       forwarder.rollBack(holder, transaction);
     }
-    parts.metrics().countForwarded("lost");
+    context.metrics().countForwarded("lost");
     if (notRun || task.deadlineNanos() - now > 0 && tryAcquireResend()) {
       sendToNextHolder();
     } else {
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/GroupRouting.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/GroupRouting.java
@@ -115,7 +115,7 @@
   synchronized boolean primaryUnavailable(GroupState group, long nowNanos) {
     return presumedPrimary(group)
         .map(trackers::get)
-        .map(tracker -> tracker.paused(nowNanos))
+        .map(tracker -> tracker.inBackoff(nowNanos))
         .orElse(true);
   }
 
@@ -123,7 +123,7 @@
    * Returns how long requests to the presumed primary have gone unanswered: {@code Long.MAX_VALUE}
    * if no primary is known, empty if the primary answers.
    */
-  synchronized OptionalLong primaryLostNanos(GroupState group, long nowNanos) {
+  synchronized OptionalLong primaryUnresponsiveNanos(GroupState group, long nowNanos) {
     Optional<ServerId> presumed = presumedPrimary(group);
     if (presumed.isEmpty()) {
       return OptionalLong.of(Long.MAX_VALUE);
@@ -131,7 +131,7 @@
     ServerTracker tracker = trackers.get(presumed.get());
     return tracker == null || !tracker.isFailing()
         ? OptionalLong.empty()
-        : OptionalLong.of(tracker.silentNanos(nowNanos));
+        : OptionalLong.of(tracker.unresponsiveNanos(nowNanos));
   }
 
   /** Returns the age of the newest sample, measured from the time of its request. */
@@ -140,7 +140,7 @@
   }
 
   /** Adds a position that came with a proof that the server is the primary. */
-  void sampled(long requestedNanos, Position position) {
+  void addSample(long requestedNanos, Position position) {
     List<CompletableFuture<Void>> futures;
     synchronized (this) {
       samples.add(requestedNanos, position);
@@ -196,7 +196,7 @@
             ? 0
             : MISSING_POSITION_PENALTY_MILLIS;
     millis += server.status() == ServerStatus.EXPIRED ? EXPIRED_PENALTY_MILLIS : 0;
-    millis += tracker.paused(nowNanos) ? BACKOFF_PENALTY_MILLIS : 0;
+    millis += tracker.inBackoff(nowNanos) ? BACKOFF_PENALTY_MILLIS : 0;
     return millis;
   }
 
@@ -244,7 +244,7 @@
     if (primaryEstimate.isDisproved(server.id())) {
       return 3;
     }
-    return tracker(server).paused(nowNanos) ? 2 : 1;
+    return tracker(server).inBackoff(nowNanos) ? 2 : 1;
   }
 
   /** Returns the presumed primary. */
@@ -263,7 +263,7 @@
     return primaryCandidates(servers, group, nowNanos).stream()
         .findFirst()
         .filter(server -> presumed.filter(server.id()::equals).isPresent())
-        .filter(server -> !tracker(server).paused(nowNanos));
+        .filter(server -> !tracker(server).inBackoff(nowNanos));
   }
 
   /** Returns whether a server is known to refuse a statement now, so that it need not be tried. */
@@ -292,7 +292,7 @@
    * Records that a server reported that it is not the primary; returns whether it was the presumed
    * primary.
    */
-  synchronized boolean doesNotLead(ServerState server, GroupState group) {
+  synchronized boolean recordNotPrimary(ServerState server, GroupState group) {
     return primaryEstimate.reject(server.id(), group);
   }
 
@@ -353,7 +353,7 @@
    * primary breaks. The primary is probed instead, and backoff starts only if the probe gets no
    * answer.
    */
-  synchronized void doubted(ServerState server, long nowNanos) {
+  synchronized void responseLost(ServerState server, long nowNanos) {
     tracker(server).responseLost(nowNanos);
   }
 
@@ -365,30 +365,30 @@
    * The state of a primary as observed by this host.
    *
    * @param server the primary named by the view
-   * @param silentMillis how long requests have gone unanswered; 0 if the server answers
+   * @param unresponsiveMillis how long requests have gone unanswered; 0 if the server answers
    */
-  record PrimarySight(ServerId server, long silentMillis) {}
+  record ObservedPrimary(ServerId server, long unresponsiveMillis) {}
 
   /**
    * Returns the observed state of the primary; empty if this host has sent it no recent requests.
    */
-  synchronized Optional<PrimarySight> primarySight(GroupState group, long nowNanos) {
+  synchronized Optional<ObservedPrimary> observedPrimary(GroupState group, long nowNanos) {
     Optional<ServerId> presumed = group.primary();
     ServerTracker tracker = presumed.map(trackers::get).orElse(null);
     if (tracker == null) {
       return Optional.empty();
     }
     if (tracker.isFailing()) {
-      long silentMillis = TimeUnit.NANOSECONDS.toMillis(tracker.silentNanos(nowNanos));
-      return Optional.of(new PrimarySight(presumed.get(), Math.max(1, silentMillis)));
+      long unresponsiveMillis = TimeUnit.NANOSECONDS.toMillis(tracker.unresponsiveNanos(nowNanos));
+      return Optional.of(new ObservedPrimary(presumed.get(), Math.max(1, unresponsiveMillis)));
     }
     return tracker.answeredWithin(nowNanos, RECENT_RESPONSE_NANOS)
-        ? Optional.of(new PrimarySight(presumed.get(), 0))
+        ? Optional.of(new ObservedPrimary(presumed.get(), 0))
         : Optional.empty();
   }
 
   synchronized boolean inBackoff(ServerState server, long nowNanos) {
-    return tracker(server).paused(nowNanos);
+    return tracker(server).inBackoff(nowNanos);
   }
 
   synchronized double latencyMillis(ServerState server) {
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/GroupRoutings.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/GroupRoutings.java
@@ -26,7 +26,7 @@
    * Sets the callback that searches for the primary of a group on behalf of all statements of this
    * host.
    */
-  void searchLeadBy(Consumer<GroupState> search) {
+  void setPrimarySearch(Consumer<GroupState> search) {
     primarySearch = search;
   }
 
@@ -38,14 +38,14 @@
   }
 
   /** Returns the number of queued statements with the given need. */
-  int waiting(WaitingStatements.Need need) {
+  int queuedCount(WaitingStatements.Need need) {
     return routings.values().stream()
         .mapToInt(routing -> routing.waitingStatements().size(need))
         .sum();
   }
 
   /** Removes the groups and servers that are no longer in the view. */
-  void follow(View view) {
+  void onViewChange(View view) {
     routings.keySet().removeIf(group -> view.group(group).isEmpty());
     routings.forEach((group, routing) -> routing.retainServers(view.serversOf(group)));
   }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/HeldElsewhere.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/HeldElsewhere.java
@@ -30,7 +30,7 @@
   @Override
   public CompletableFuture<SessionReply> run(
       TransactionOwner owner, OpenTransaction open, StatementTask task) {
-    long sentNanos = forwarder.parts().clock().nowNanos();
+    long sentNanos = forwarder.context().clock().nowNanos();
     return forwarder
         .client()
         .run(
@@ -59,7 +59,7 @@
     // The holder has already released the connection.
     open.end();
     owner.transactionEnded();
-    if (task.ending() && reply.succeeded() && open.hasWritten()) {
+    if (task.endsTransaction() && reply.succeeded() && open.hasWritten()) {
       owner.recordWrite(open.database(), reply);
     }
   }
@@ -69,25 +69,26 @@
       OpenTransaction open,
       StatementTask task,
       AlderyardException failure) {
-    forwarder.holders().failed(holder, forwarder.parts().clock().nowNanos());
+    forwarder.selector().failed(holder, forwarder.context().clock().nowNanos());
     open.end();
     owner.transactionEnded();
     rollBack();
-    boolean inDoubt = task.ending() && open.hasWritten() && failure.outcome() != Outcome.NOT_RUN;
+    boolean inDoubt =
+        task.endsTransaction() && open.hasWritten() && failure.outcome() != Outcome.NOT_RUN;
     log.warn(
         "event=transaction-lost id={} database={} holder={} commit={} wrote={} reason={}"
             + " outcome={}",
         task.request().id().orElse("-"),
         open.database().name(),
         holder.id(),
-        task.ending(),
+        task.endsTransaction(),
         open.hasWritten(),
         failure.code(),
         inDoubt ? "OUTCOME_UNKNOWN" : "NOT_KEPT");
     return SessionReply.refused(
         inDoubt ? RefusalCode.IN_DOUBT : RefusalCode.ABORTED,
         "the host that holds the connection did not reply",
-        task.ending() ? TransactionState.NONE : TransactionState.FAILED);
+        task.endsTransaction() ? TransactionState.NONE : TransactionState.FAILED);
   }
 
   @Override
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/HeldStatements.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/HeldStatements.java
@@ -34,7 +34,7 @@
   private static final long DEFAULT_IDLE_MILLIS = 60_000;
 
   private final LocalStatements local;
-  private final SessionParts parts;
+  private final SessionContext context;
   private final Map<Key, HeldTransaction> transactions = new ConcurrentHashMap<>();
   private volatile boolean stopping;
 
@@ -50,7 +50,7 @@
 
   HeldStatements(LocalStatements local) {
     this.local = local;
-    this.parts = local.parts();
+    this.context = local.context();
   }
 
   void registerMethods(Dispatcher dispatcher) {
@@ -65,7 +65,7 @@
    *     its view does not have the group, or if the statement can't be decoded
    */
   CompletableFuture<HeldStatementReply> run(HeldStatementRequest request) {
-    long now = parts.clock().nowNanos();
+    long now = context.clock().nowNanos();
     StatementTask task = HeldStatementCodec.task(request, now);
     Optional<GroupRouting.Floor> lastWrite = HeldStatementCodec.lastWrite(request, now);
     Key key = Key.of(request.getHost(), request.getIncarnation(), request.getTransaction());
@@ -87,7 +87,7 @@
     if (stopping) {
       throw AlderyardException.notRun(ErrorCode.DRAINING, "this host is shutting down");
     }
-    if (parts.group(group).isEmpty()) {
+    if (context.group(group).isEmpty()) {
       throw AlderyardException.notRun(
           ErrorCode.NO_ELIGIBLE_SERVER, "this host's view has no group " + group);
     }
@@ -102,7 +102,7 @@
         "event=held-transaction-unknown id={} host={} commit={} outcome=NOT_KEPT",
         task.request().id().orElse("-"),
         key.host(),
-        task.ending());
+        task.endsTransaction());
     return CompletableFuture.completedFuture(HeldTransaction.abortedReply(task));
   }
 
@@ -118,7 +118,7 @@
    */
   void endAbandoned(long nowNanos) {
     long idleMillis =
-        parts
+        context
             .views()
             .current()
             .configuration()
@@ -137,7 +137,7 @@
   }
 
   private boolean callerHostRestarted(Key key) {
-    HostState host = parts.views().current().hosts().get(key.host());
+    HostState host = context.views().current().hosts().get(key.host());
     return host != null && host.incarnation() > key.incarnation();
   }
 
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/HeldTransaction.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/HeldTransaction.java
@@ -36,11 +36,11 @@
     if (!open.beginStatement()) {
       return CompletableFuture.completedFuture(abortedReply(task));
     }
-    return new TransactionStatement(local.parts(), this, open, task)
+    return new TransactionStatement(local.context(), this, open, task)
         .run(StatementForwarder.NONE, lastWrite)
         .whenComplete(
             (reply, failure) -> {
-              open.endStatement(local.parts().clock().nowNanos());
+              open.endStatement(local.context().clock().nowNanos());
               if (failure != null || reply.state() != TransactionState.OPEN) {
                 rollBack();
               }
@@ -52,7 +52,7 @@
     return SessionReply.refused(
         RefusalCode.ABORTED,
         "the transaction has ended",
-        task.ending() ? TransactionState.NONE : TransactionState.FAILED);
+        task.endsTransaction() ? TransactionState.NONE : TransactionState.FAILED);
   }
 
   boolean isIdleFor(long nowNanos, long idleNanos) {
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/HolderForwarder.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/HolderForwarder.java
@@ -19,34 +19,35 @@
    */
   private static final long REPLY_MARGIN_MILLIS = 50;
 
-  private final SessionParts parts;
-  private final Holders holders;
+  private final SessionContext context;
+  private final HolderSelector selector;
   private final HolderClient client;
   private final HostState self;
   private final AtomicLong lastTransactionNumber = new AtomicLong();
   private final RetryBudget resendBudget =
-      new RetryBudget(RetryBudget.DEFAULT_SHARE, RetryBudget.DEFAULT_SAVED);
+      new RetryBudget(RetryBudget.DEFAULT_SHARE, RetryBudget.DEFAULT_MAX_RESENDS);
 
   /**
    * Creates a forwarder that has not begun a transaction.
    *
-   * @param holders selects the holders and records their replies
+   * @param selector selects the holders and records their replies
    * @param client sends statements to holders
    * @param self this host
    */
-  HolderForwarder(SessionParts parts, Holders holders, HolderClient client, HostState self) {
-    this.parts = parts;
-    this.holders = holders;
+  HolderForwarder(
+      SessionContext context, HolderSelector selector, HolderClient client, HostState self) {
+    this.context = context;
+    this.selector = selector;
     this.client = client;
     this.self = self;
   }
 
-  SessionParts parts() {
-    return parts;
+  SessionContext context() {
+    return context;
   }
 
-  Holders holders() {
-    return holders;
+  HolderSelector selector() {
+    return selector;
   }
 
   HolderClient client() {
@@ -82,7 +83,7 @@
   }
 
   private Optional<List<HostState>> remoteHolders(StatementTask task) {
-    return holders.remoteHolders(parts.views().current(), task.database().group());
+    return selector.remoteHolders(context.views().current(), task.database().group());
   }
 
   /** Returns how long to wait for the reply of a holder. */
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/Holders.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/HolderSelector.java
@@ -20,7 +20,7 @@
  *
  * <p>Locking: guarded by the object's own lock; no other lock is acquired while it is held.
  */
-final class Holders {
+final class HolderSelector {
   /**
    * Latency that is added for a holder in another availability zone. A statement's duration depends
    * more on its server than on its holder, so a holder in another zone is preferred only over a far
@@ -51,7 +51,7 @@
   private Map<HostId, HostState> cachedHosts = Map.of();
   private Map<GroupId, GroupState> cachedGroups = Map.of();
   private final Map<GroupId, GroupHolders> cache = new HashMap<>();
-  private final Map<HostId, HolderTrack> trackers = new HashMap<>();
+  private final Map<HostId, HolderTracker> trackers = new HashMap<>();
 
   /**
    * The holders of one group in the current view. Cached, as every use of a connection reads it.
@@ -67,7 +67,7 @@
    *
    * @param isConnected whether this host has an open link to a host
    */
-  Holders(HostId self, ZoneName zone, Predicate<HostState> isConnected) {
+  HolderSelector(HostId self, ZoneName zone, Predicate<HostState> isConnected) {
     this.self = self;
     this.zone = zone;
     this.isConnected = isConnected;
@@ -77,7 +77,7 @@
    * Returns the other hosts that are likely to have recent information about a group: its holders,
    * or all proxies if all hosts hold connections.
    */
-  synchronized List<HostState> wellInformed(View view, GroupId group) {
+  synchronized List<HostState> sampleSources(View view, GroupId group) {
     return groupHolders(view, group)
         .holders()
         .orElseGet(() -> view.hosts().values().stream().filter(HostState::proxy).toList())
@@ -139,11 +139,11 @@
   }
 
   private double expectedMillis(HostState holder, long nowNanos) {
-    HolderTrack tracker = tracker(holder);
+    HolderTracker tracker = tracker(holder);
     return tracker.expectedMillis()
         + (holder.zone().equals(zone) ? 0 : OTHER_ZONE_PENALTY_MILLIS)
         + (isConnected.test(holder) ? 0 : UNCONNECTED_PENALTY_MILLIS)
-        + (tracker.paused(nowNanos) ? BACKOFF_PENALTY_MILLIS : 0);
+        + (tracker.inBackoff(nowNanos) ? BACKOFF_PENALTY_MILLIS : 0);
   }
 
   /**
@@ -152,7 +152,7 @@
    */
   synchronized boolean allUnresponsive(List<HostState> holders, long nowNanos) {
     return holders.stream()
-        .allMatch(holder -> tracker(holder).silentNanos(nowNanos) >= LOCAL_FALLBACK_NANOS);
+        .allMatch(holder -> tracker(holder).unresponsiveNanos(nowNanos) >= LOCAL_FALLBACK_NANOS);
   }
 
   synchronized void started(HostState holder) {
@@ -181,10 +181,10 @@
     return tracker(holder).latencyMillis();
   }
 
-  private HolderTrack tracker(HostState holder) {
-    HolderTrack tracker = trackers.get(holder.id());
+  private HolderTracker tracker(HostState holder) {
+    HolderTracker tracker = trackers.get(holder.id());
     if (tracker == null || tracker.incarnation() != holder.incarnation()) {
-      tracker = new HolderTrack(holder.incarnation());
+      tracker = new HolderTracker(holder.incarnation());
       trackers.put(holder.id(), tracker);
     }
     return tracker;
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/HolderTrack.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/HolderTracker.java
@@ -8,7 +8,7 @@
  * statements whose callers have given up: all hosts of a fleet start at the same time, and the
  * statements queued at a holder become older than their callers' timeouts.
  */
-final class HolderTrack extends AnswerTrack {
+final class HolderTracker extends ResponseTracker {
   /**
    * Assumed latency before the first reply: close to that of a common statement plus a network
    * round trip.
@@ -26,7 +26,7 @@
   private final long incarnation;
   private double inFlightLimit = INITIAL_IN_FLIGHT_LIMIT;
 
-  HolderTrack(long incarnation) {
+  HolderTracker(long incarnation) {
     super(INITIAL_LATENCY_MILLIS);
     this.incarnation = incarnation;
   }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/LocalStatements.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/LocalStatements.java
@@ -7,16 +7,16 @@
 
 /** Runs statements over this host's own connections. */
 final class LocalStatements {
-  private final SessionParts parts;
+  private final SessionContext context;
   private final ReadFloors floors;
 
-  LocalStatements(SessionParts parts, ReadFloors floors) {
-    this.parts = parts;
+  LocalStatements(SessionContext context, ReadFloors floors) {
+    this.context = context;
     this.floors = floors;
   }
 
-  SessionParts parts() {
-    return parts;
+  SessionContext context() {
+    return context;
   }
 
   ReadFloors floors() {
@@ -30,16 +30,18 @@
    * @return a future that never completes exceptionally
    */
   CompletableFuture<SessionReply> single(StatementTask task, Optional<GroupRouting.Floor> written) {
-    CompletableFuture<ServerDemand> futureRequirement =
+    CompletableFuture<ServerRequirement> futureRequirement =
         task.kind() == StatementKind.WRITE
-            ? CompletableFuture.completedFuture(ServerDemand.primary())
+            ? CompletableFuture.completedFuture(ServerRequirement.primary())
             : floors
                 .floor(task.database(), written)
                 .thenApply(
                     floor ->
-                        floor.map(ServerDemand::atFloor).orElseGet(ServerDemand::verifiedPrimary));
+                        floor
+                            .map(ServerRequirement::atFloor)
+                            .orElseGet(ServerRequirement::verifiedPrimary));
     return futureRequirement
-        .thenCompose(requirement -> new StatementRun(parts, task, requirement).run())
+        .thenCompose(requirement -> new StatementRun(context, task, requirement).run())
         .thenApply(StatementRun.Result::reply);
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/SampledLog.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/LogSampler.java
@@ -5,11 +5,11 @@
 /**
  * Selects one event out of a given number for logging, so that routine events do not fill the log.
  */
-final class SampledLog {
+final class LogSampler {
   private final int interval;
   private final AtomicLong count = new AtomicLong();
 
-  SampledLog(int interval) {
+  LogSampler(int interval) {
     this.interval = interval;
   }
 
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/PeerSamples.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/PeerSamples.java
@@ -35,15 +35,15 @@
   private static final long MIN_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
   private final PeerLinks links;
-  private final Holders holders;
-  private final SessionParts parts;
+  private final HolderSelector selector;
+  private final SessionContext context;
   private final AtomicInteger nextPeer = new AtomicInteger();
   private final Map<GroupId, Long> notBeforeNanos = new ConcurrentHashMap<>();
 
-  PeerSamples(PeerLinks links, Holders holders, SessionParts parts) {
+  PeerSamples(PeerLinks links, HolderSelector selector, SessionContext context) {
     this.links = links;
-    this.holders = holders;
-    this.parts = parts;
+    this.selector = selector;
+    this.context = context;
   }
 
   void serve(Dispatcher dispatcher) {
@@ -51,11 +51,11 @@
   }
 
   private CompletableFuture<PositionSampleReply> handleRequest(PositionSampleRequest request) {
-    GroupRouting routing = parts.routings().of(new GroupId(request.getGroup()));
-    long now = parts.clock().nowNanos();
+    GroupRouting routing = context.routings().of(new GroupId(request.getGroup()));
+    long now = context.clock().nowNanos();
     PositionSampleReply.Builder reply = PositionSampleReply.newBuilder();
     routing
-        .newestSample(now, parts.wallClock().millis())
+        .newestSample(now, context.wallClock().millis())
         .ifPresent(
             sample ->
                 reply
@@ -76,12 +76,12 @@
       return;
     }
     notBeforeNanos.put(group, nowNanos + MIN_INTERVAL_NANOS);
-    List<HostState> peers = holders.wellInformed(parts.views().current(), group);
+    List<HostState> peers = selector.sampleSources(context.views().current(), group);
     PositionSampleRequest request =
         PositionSampleRequest.newBuilder().setGroup(group.value()).build();
     for (int i = 0; i < Math.min(PARALLEL_PEERS, peers.size()); i++) {
       HostState peer = peers.get(Math.floorMod(nextPeer.getAndIncrement(), peers.size()));
-      long sentNanos = parts.clock().nowNanos();
+      long sentNanos = context.clock().nowNanos();
       links
           .to(peer.innerAddress())
           .call(DataMethods.POSITION_SAMPLE, request, TIMEOUT)
@@ -104,6 +104,6 @@
   }
 
   private void addSample(GroupId group, PositionSamples.Sample sample) {
-    parts.routings().of(group).sampled(sample.requestedNanos(), sample.position());
+    context.routings().of(group).addSample(sample.requestedNanos(), sample.position());
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/PinnedConnection.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/PinnedConnection.java
@@ -7,21 +7,21 @@
 /**
  * A connection of this host with an open transaction.
  *
- * @param parts the components that all sessions share
+ * @param context the components that all sessions share
  * @param server the server of the connection
  * @param session the connection
  */
-record PinnedConnection(SessionParts parts, ServerState server, PooledSession session)
+record PinnedConnection(SessionContext context, ServerState server, PooledSession session)
     implements TransactionLocation {
 
   @Override
   public CompletableFuture<SessionReply> run(
       TransactionOwner owner, OpenTransaction open, StatementTask task) {
-    return new PinnedStatement(parts, this, owner, open, task).run();
+    return new PinnedStatement(context, this, owner, open, task).run();
   }
 
   @Override
   public void rollBack() {
-    parts.rollBackAndRelease(server, session);
+    context.rollBackAndRelease(server, session);
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/PinnedStatement.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/PinnedStatement.java
@@ -29,7 +29,7 @@
 
   private static final Duration BUSY_RETRY_DELAY = Duration.ofMillis(12);
 
-  private final SessionParts parts;
+  private final SessionContext context;
   private final ServerState server;
   private final PooledSession connection;
   private final TransactionOwner owner;
@@ -37,12 +37,12 @@
   private final StatementTask task;
 
   PinnedStatement(
-      SessionParts parts,
+      SessionContext context,
       PinnedConnection pinned,
       TransactionOwner owner,
       OpenTransaction open,
       StatementTask task) {
-    this.parts = parts;
+    this.context = context;
     this.server = pinned.server();
     this.connection = pinned.session();
     this.owner = owner;
@@ -56,10 +56,10 @@
   }
 
   private CompletableFuture<SessionReply> run(int retries) {
-    GroupRouting routing = parts.routings().of(open.database().group());
-    List<SessionRequest> requests = connection.adopt(task.values(), task.prepared(), false);
+    GroupRouting routing = context.routings().of(open.database().group());
+    List<SessionRequest> requests = connection.setupRequests(task.values(), task.prepared(), false);
     requests.add(task.request());
-    long sentNanos = parts.clock().nowNanos();
+    long sentNanos = context.clock().nowNanos();
     Duration timeout = Duration.ofNanos(Math.max(1, task.deadlineNanos() - sentNanos));
     routing.started(server, sentNanos);
     return connection
@@ -76,11 +76,11 @@
   }
 
   private CompletableFuture<SessionReply> handleConnectionLoss(AlderyardException failure) {
-    parts.routings().of(open.database().group()).doubted(server, parts.clock().nowNanos());
+    context.routings().of(open.database().group()).responseLost(server, context.clock().nowNanos());
     open.end();
-    parts.discard(server, connection);
+    context.discard(server, connection);
     owner.transactionEnded();
-    boolean inDoubt = task.ending() && open.hasWritten();
+    boolean inDoubt = task.endsTransaction() && open.hasWritten();
     log.warn(
         "event=transaction-lost id={} database={} server={} incarnation={} commit={} wrote={}"
             + " reason={} outcome={}",
@@ -88,7 +88,7 @@
         open.database().name(),
         server.id(),
         server.incarnation(),
-        task.ending(),
+        task.endsTransaction(),
         open.hasWritten(),
         failure.code(),
         inDoubt ? "OUTCOME_UNKNOWN" : "NOT_KEPT");
@@ -96,18 +96,18 @@
         SessionReply.refused(
             inDoubt ? RefusalCode.IN_DOUBT : RefusalCode.ABORTED,
             "the connection to the server was lost",
-            task.ending() ? TransactionState.NONE : TransactionState.FAILED));
+            task.endsTransaction() ? TransactionState.NONE : TransactionState.FAILED));
   }
 
   private CompletableFuture<SessionReply> handleReplies(
       List<SessionReply> replies, long sentNanos, int retries) {
-    long now = parts.clock().nowNanos();
+    long now = context.clock().nowNanos();
     SessionReply reply = replies.get(replies.size() - 1);
-    GroupRouting routing = parts.routings().of(open.database().group());
-    boolean ran = !StatementAttempt.notRun(reply);
+    GroupRouting routing = context.routings().of(open.database().group());
+    boolean ran = !StatementAttempt.refusedBeforeRun(reply);
     routing.answered(server, now, now - sentNanos, ran, reply.position());
     if (reply.succeeded()) {
-      if (task.ending()) {
+      if (task.endsTransaction()) {
         handleCommit(reply, sentNanos);
         return CompletableFuture.completedFuture(reply.inState(TransactionState.NONE));
       }
@@ -116,22 +116,24 @@
     boolean stillOpen = reply.state() == TransactionState.OPEN;
     if (reply.refusedWith(RefusalCode.BUSY) && stillOpen && retries < MAX_BUSY_RETRIES) {
       CompletableFuture<Void> retryDelay = new CompletableFuture<>();
-      parts.workers().schedule(BUSY_RETRY_DELAY, () -> retryDelay.complete(null));
+      context.workers().schedule(BUSY_RETRY_DELAY, () -> retryDelay.complete(null));
       return retryDelay.thenCompose(ignored -> run(retries + 1));
     }
     if (reply.refusedWith(RefusalCode.NOT_PRIMARY)) {
-      parts.group(open.database().group()).ifPresent(group -> routing.doesNotLead(server, group));
+      context
+          .group(open.database().group())
+          .ifPresent(group -> routing.recordNotPrimary(server, group));
     }
     log.info(
         "event=transaction-refused id={} database={} server={} commit={} code={}",
         task.request().id().orElse("-"),
         open.database().name(),
         server.id(),
-        task.ending(),
+        task.endsTransaction(),
         reply.refusal().orElseThrow().code());
     owner.rollBack();
     return CompletableFuture.completedFuture(
-        reply.inState(task.ending() ? TransactionState.NONE : TransactionState.FAILED));
+        reply.inState(task.endsTransaction() ? TransactionState.NONE : TransactionState.FAILED));
   }
 
   private void handleCommit(SessionReply reply, long sentNanos) {
@@ -143,12 +145,12 @@
           .position()
           .ifPresent(
               position ->
-                  parts.routings().of(open.database().group()).sampled(sentNanos, position));
+                  context.routings().of(open.database().group()).addSample(sentNanos, position));
     }
     if (reply.state() == TransactionState.NONE) {
-      parts.release(server, connection);
+      context.release(server, connection);
     } else {
-      parts.rollBackAndRelease(server, connection);
+      context.rollBackAndRelease(server, connection);
     }
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/PooledSession.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/PooledSession.java
@@ -61,7 +61,7 @@
    * @param statement the prepared statement to execute, if any
    * @param mayReset whether the connection is outside a transaction
    */
-  List<SessionRequest> adopt(
+  List<SessionRequest> setupRequests(
       Map<String, String> sessionValues, Optional<Prepare> statement, boolean mayReset) {
     List<SessionRequest> requests = new ArrayList<>();
     boolean hasForeignValues = !sessionValues.keySet().containsAll(values.keySet());
@@ -96,7 +96,7 @@
   }
 
   /** Sends a statement that the proxy itself issues. */
-  CompletableFuture<SessionReply> runOwn(SessionStatement statement, Duration timeout) {
+  CompletableFuture<SessionReply> runInternal(SessionStatement statement, Duration timeout) {
     return run(List.of(SessionRequest.own(statement)), timeout)
         .thenApply(replies -> replies.get(0));
   }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/PrimaryReporter.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/PrimaryReporter.java
@@ -32,7 +32,7 @@
 
   private final ControlClient control;
   private final HostId self;
-  private final SessionParts parts;
+  private final SessionContext context;
   private final SampleRefresher refresher;
   private long lastReportNanos;
   private boolean lastReportHadUnresponsive;
@@ -40,37 +40,37 @@
   private final AtomicBoolean reportInFlight = new AtomicBoolean();
 
   PrimaryReporter(
-      ControlClient control, HostId self, SessionParts parts, SampleRefresher refresher) {
+      ControlClient control, HostId self, SessionContext context, SampleRefresher refresher) {
     this.control = control;
     this.self = self;
-    this.parts = parts;
+    this.context = context;
     this.refresher = refresher;
   }
 
   void start() {
-    parts.workers().scheduleRepeatedly(CHECK_INTERVAL, this::reportIfDue);
+    context.workers().scheduleRepeatedly(CHECK_INTERVAL, this::reportIfDue);
   }
 
   private void reportIfDue() {
-    long now = parts.clock().nowNanos();
+    long now = context.clock().nowNanos();
     ReportPrimariesRequest.Builder report =
         ReportPrimariesRequest.newBuilder().setHost(self.value());
     boolean anyUnresponsive = false;
-    for (GroupState group : parts.views().current().groups().values()) {
-      GroupRouting routing = parts.routings().of(group.id());
-      var sighting = routing.primarySight(group, now);
-      if (sighting.isEmpty()) {
+    for (GroupState group : context.views().current().groups().values()) {
+      GroupRouting routing = context.routings().of(group.id());
+      var observed = routing.observedPrimary(group, now);
+      if (observed.isEmpty()) {
         continue;
       }
-      if (sighting.get().silentMillis() > 0) {
+      if (observed.get().unresponsiveMillis() > 0) {
         anyUnresponsive = true;
-        refresher.askAgain(group, now);
+        refresher.probePrimary(group, now);
       }
       report.addSightings(
           PrimarySighting.newBuilder()
               .setGroup(group.id().value())
-              .setServer(sighting.get().server().value())
-              .setSilentMillis((int) sighting.get().silentMillis()));
+              .setServer(observed.get().server().value())
+              .setSilentMillis((int) observed.get().unresponsiveMillis()));
     }
     boolean due =
         anyUnresponsive
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/ReadFloors.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/ReadFloors.java
@@ -27,11 +27,11 @@
    */
   private static final int WAIT_DIVISOR = 4;
 
-  private final SessionParts parts;
+  private final SessionContext context;
   private final SampleRefresher refresher;
 
-  ReadFloors(SessionParts parts, SampleRefresher refresher) {
-    this.parts = parts;
+  ReadFloors(SessionContext context, SampleRefresher refresher) {
+    this.context = context;
     this.refresher = refresher;
   }
 
@@ -48,7 +48,7 @@
     }
     Optional<GroupRouting.Floor> own =
         database.reads() == SessionReads.OWN_WRITES ? written : Optional.empty();
-    refresher.refreshIfDue(database, parts.clock().nowNanos());
+    refresher.refreshIfDue(database, context.clock().nowNanos());
     Optional<GroupRouting.Floor> floor = currentFloor(database, own);
     if (floor.isPresent()) {
       return CompletableFuture.completedFuture(floor);
@@ -56,24 +56,24 @@
     long timeoutMillis =
         Math.min(SAMPLE_WAIT_MILLIS, database.statementTimeoutMillis() / WAIT_DIVISOR);
     CompletableFuture<Void> sampleAdded =
-        parts.routings().of(database.group()).awaitSample(timeoutMillis);
+        context.routings().of(database.group()).awaitSample(timeoutMillis);
     // A sample that was added before the registration does not complete the future.
     Optional<GroupRouting.Floor> floorAfterRegistration = currentFloor(database, own);
     if (floorAfterRegistration.isPresent()) {
       return CompletableFuture.completedFuture(floorAfterRegistration);
     }
     return sampleAdded.thenApplyAsync(
-        done -> currentFloor(database, own), parts.workers()::execute);
+        done -> currentFloor(database, own), context.workers()::execute);
   }
 
   private Optional<GroupRouting.Floor> currentFloor(
       DatabaseState database, Optional<GroupRouting.Floor> own) {
-    return parts
+    return context
         .routings()
         .of(database.group())
         .floor(
-            parts.clock().nowNanos(),
-            parts.wallClock().millis(),
+            context.clock().nowNanos(),
+            context.wallClock().millis(),
             TimeUnit.MILLISECONDS.toNanos(database.maxStalenessMillis()),
             own);
   }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/AnswerTrack.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/ResponseTracker.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** Recent response times and failures of a backend server or another host. Not thread-safe. */
-class AnswerTrack {
+class ResponseTracker {
   /** Weight of a new latency in the moving average; about the last ten responses count. */
   private static final double LATENCY_WEIGHT = 0.1;
 
@@ -26,7 +26,7 @@
    *
    * @param initialLatencyMillis the assumed latency until the first response
    */
-  AnswerTrack(double initialLatencyMillis) {
+  ResponseTracker(double initialLatencyMillis) {
     this.latencyMillis = initialLatencyMillis;
   }
 
@@ -82,11 +82,11 @@
   }
 
   /** Returns how long requests have gone unanswered, or 0 if the last one was answered. */
-  long silentNanos(long nowNanos) {
+  long unresponsiveNanos(long nowNanos) {
     return failures == 0 ? 0 : nowNanos - (answered ? lastAnswerNanos : firstFailureNanos);
   }
 
-  boolean paused(long nowNanos) {
+  boolean inBackoff(long nowNanos) {
     return backingOff && nowNanos - backoffUntilNanos < 0;
   }
 
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/SampleRefresher.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/SampleRefresher.java
@@ -37,12 +37,12 @@
    */
   private static final long MIN_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
-  private final SessionParts parts;
+  private final SessionContext context;
   private final Map<GroupId, Long> notBeforeNanos = new ConcurrentHashMap<>();
   private volatile Optional<PeerSamples> peerSamples = Optional.empty();
 
-  SampleRefresher(SessionParts parts) {
-    this.parts = parts;
+  SampleRefresher(SessionContext context) {
+    this.context = context;
   }
 
   /**
@@ -50,22 +50,22 @@
    * bounded staleness.
    */
   void refreshIfDue(DatabaseState database, long nowNanos) {
-    GroupRouting routing = parts.routings().of(database.group());
+    GroupRouting routing = context.routings().of(database.group());
     double dueNanos =
         TimeUnit.MILLISECONDS.toNanos(database.maxStalenessMillis()) * REFRESH_FRACTION;
     boolean due = routing.newestSampleAgeNanos(nowNanos).map(age -> age > dueNanos).orElse(true);
-    Optional<GroupState> group = parts.group(database.group());
+    Optional<GroupState> group = context.group(database.group());
     if (!due || group.isEmpty()) {
       return;
     }
-    searchLead(group.get());
+    searchPrimary(group.get());
     if (routing.primaryUnavailable(group.get(), nowNanos)) {
       peerSamples.ifPresent(samples -> samples.requestSamples(database.group(), nowNanos));
     }
   }
 
   /** Also requests samples from other hosts when the primary is unavailable. */
-  void askPeers(PeerSamples samples) {
+  void setPeerSamples(PeerSamples samples) {
     peerSamples = Optional.of(samples);
   }
 
@@ -75,14 +75,14 @@
    * <p>The probe takes no slot, so a slow server answers it; a server that does not answer has
    * failed.
    */
-  void askAgain(GroupState group, long nowNanos) {
+  void probePrimary(GroupState group, long nowNanos) {
     startSearch(group, nowNanos, server -> true);
   }
 
   /** Searches for the primary if no primary is known or the presumed primary does not answer. */
-  void searchLead(GroupState group) {
-    long now = parts.clock().nowNanos();
-    GroupRouting routing = parts.routings().of(group.id());
+  void searchPrimary(GroupState group) {
+    long now = context.clock().nowNanos();
+    GroupRouting routing = context.routings().of(group.id());
     startSearch(group, now, server -> !routing.inBackoff(server, now));
   }
 
@@ -103,8 +103,8 @@
    */
   private void tryNextServer(
       GroupState group, long nowNanos, Predicate<ServerState> filter, Set<ServerId> triedServers) {
-    GroupRouting routing = parts.routings().of(group.id());
-    routing.primaryCandidates(parts.servers(group.id()), group, nowNanos).stream()
+    GroupRouting routing = context.routings().of(group.id());
+    routing.primaryCandidates(context.servers(group.id()), group, nowNanos).stream()
         .filter(filter)
         .filter(server -> !triedServers.contains(server.id()))
         .findFirst()
@@ -116,21 +116,21 @@
                   routing,
                   group,
                   server,
-                  () -> tryNextServer(group, parts.clock().nowNanos(), filter, nowTried));
+                  () -> tryNextServer(group, context.clock().nowNanos(), filter, nowTried));
             });
   }
 
   private void connect(
       GroupRouting routing, GroupState group, ServerState server, Runnable tryNext) {
-    parts
+    context
         .pools()
-        .take(server, TIMEOUT)
+        .acquire(server, TIMEOUT)
         .whenComplete(
             (session, failure) -> {
               if (failure == null) {
                 probe(routing, group, server, session, tryNext);
               } else if (!StatementRun.isConnectionLimit(Futures.unwrap(failure))) {
-                routing.failed(server, parts.clock().nowNanos());
+                routing.failed(server, context.clock().nowNanos());
                 tryNext.run();
               }
             });
@@ -142,28 +142,28 @@
       ServerState server,
       PooledSession session,
       Runnable tryNext) {
-    long sentNanos = parts.clock().nowNanos();
+    long sentNanos = context.clock().nowNanos();
     session
         .run(List.of(SessionRequest.own(new Begin(false))), TIMEOUT)
         .whenComplete(
             (replies, failure) -> {
               if (failure != null) {
-                routing.failed(server, parts.clock().nowNanos());
-                parts.discard(server, session);
+                routing.failed(server, context.clock().nowNanos());
+                context.discard(server, session);
                 tryNext.run();
                 return;
               }
               SessionReply reply = replies.get(0);
-              long now = parts.clock().nowNanos();
+              long now = context.clock().nowNanos();
               routing.answered(server, now, now - sentNanos, false, reply.position());
               if (reply.succeeded()) {
                 routing.confirmPrimary(server);
-                reply.position().ifPresent(position -> routing.sampled(sentNanos, position));
+                reply.position().ifPresent(position -> routing.addSample(sentNanos, position));
               } else if (reply.refusedWith(RefusalCode.NOT_PRIMARY)) {
-                routing.doesNotLead(server, group);
+                routing.recordNotPrimary(server, group);
                 tryNext.run();
               }
-              parts.rollBackAndRelease(server, session);
+              context.rollBackAndRelease(server, session);
             });
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/ServerDemand.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/ServerRequirement.java
@@ -12,40 +12,41 @@
  *     begun
  * @param keepOpen whether the transaction stays open after the statement
  */
-record ServerDemand(Optional<GroupRouting.Floor> floor, Optional<Boolean> begin, boolean keepOpen) {
+record ServerRequirement(
+    Optional<GroupRouting.Floor> floor, Optional<Boolean> begin, boolean keepOpen) {
 
   /** Rejects null components. */
-  ServerDemand {
+  ServerRequirement {
     Objects.requireNonNull(floor);
     Objects.requireNonNull(begin);
   }
 
   /** Single read on any server that holds the position. */
-  static ServerDemand atFloor(GroupRouting.Floor floor) {
-    return new ServerDemand(Optional.of(floor), Optional.empty(), false);
+  static ServerRequirement atFloor(GroupRouting.Floor floor) {
+    return new ServerRequirement(Optional.of(floor), Optional.empty(), false);
   }
 
   /** First statement of a read-only transaction on any server that holds the position. */
-  static ServerDemand readTransaction(GroupRouting.Floor floor) {
-    return new ServerDemand(Optional.of(floor), Optional.of(true), true);
+  static ServerRequirement readTransaction(GroupRouting.Floor floor) {
+    return new ServerRequirement(Optional.of(floor), Optional.of(true), true);
   }
 
   /**
    * Single read on the primary. The read runs inside a read-write transaction: a replaced primary
    * refuses such a transaction, but still answers standalone reads.
    */
-  static ServerDemand verifiedPrimary() {
-    return new ServerDemand(Optional.empty(), Optional.of(false), false);
+  static ServerRequirement verifiedPrimary() {
+    return new ServerRequirement(Optional.empty(), Optional.of(false), false);
   }
 
   /** First statement of a transaction that may write. */
-  static ServerDemand transaction() {
-    return new ServerDemand(Optional.empty(), Optional.of(false), true);
+  static ServerRequirement transaction() {
+    return new ServerRequirement(Optional.empty(), Optional.of(false), true);
   }
 
   /** Single write, which only the primary accepts. */
-  static ServerDemand primary() {
-    return new ServerDemand(Optional.empty(), Optional.empty(), false);
+  static ServerRequirement primary() {
+    return new ServerRequirement(Optional.empty(), Optional.empty(), false);
   }
 
   boolean needsPrimary() {
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/Outlook.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/ServerSearchPolicy.java
@@ -12,7 +12,8 @@
  * @param primaryUnresponsiveNanos how long requests to the primary have gone unanswered, {@code
  *     Long.MAX_VALUE} if no primary is known; empty if the primary answers
  */
-record Outlook(boolean needsPrimary, boolean viewConfirmed, OptionalLong primaryUnresponsiveNanos) {
+record ServerSearchPolicy(
+    boolean needsPrimary, boolean viewConfirmed, OptionalLong primaryUnresponsiveNanos) {
   /**
    * Fraction of a statement's timeout that may be spent searching for a server; the rest is for
    * running the statement.
@@ -57,13 +58,13 @@
    * <p>Such a host can neither run writes nor discover which host can. Its callers are refused
    * immediately and can try another host, instead of waiting for their whole timeout.
    */
-  boolean hopeless() {
+  boolean isIsolated() {
     return needsPrimary && !viewConfirmed && primaryFailed();
   }
 
   /** Returns whether the search for a server ends now. */
   boolean isSearchOver(long elapsedNanos, long timeoutNanos, long objectiveNanos) {
-    return hopeless()
+    return isIsolated()
         || failoverExceedsDeadline(timeoutNanos - elapsedNanos)
         || elapsedNanos >= searchNanos(timeoutNanos, objectiveNanos);
   }
@@ -107,7 +108,7 @@
 
   /** Returns the delay after which the caller of a refused statement should retry. */
   long retryAfterMillis() {
-    if (hopeless()) {
+    if (isIsolated()) {
       return ISOLATED_RETRY_MILLIS;
     }
     if (needsPrimary && primaryFailed()) {
@@ -119,7 +120,7 @@
   /** Returns the refusal message for the caller. */
   String message() {
     String reason =
-        hopeless()
+        isIsolated()
             ? "this host is cut off from the primary; another host may run the statement"
             : "no server can run the statement now";
     return reason + "; retry after " + retryAfterMillis() + " ms";
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/ServerTracker.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/ServerTracker.java
@@ -4,7 +4,7 @@
 import org.alderyard.common.id.Position;
 
 /** State of one incarnation of a server, as observed by this host. Not thread-safe. */
-final class ServerTracker extends AnswerTrack {
+final class ServerTracker extends ResponseTracker {
   /**
    * Assumed latency before the first response. It is close to the time of a typical statement, so
    * that a server without responses is not preferred over all others.
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/SessionParts.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/SessionContext.java
@@ -32,7 +32,7 @@
  * @param viewConfirmed whether the control hosts have recently confirmed this host's view
  * @param routineLog selects the successful statements that are logged
  */
-record SessionParts(
+record SessionContext(
     ViewHolder views,
     GroupRoutings routings,
     ConnectionPools<PooledSession> pools,
@@ -41,7 +41,7 @@
     InstantSource wallClock,
     SessionMetrics metrics,
     BooleanSupplier viewConfirmed,
-    SampledLog routineLog) {
+    LogSampler routineLog) {
   /**
    * Timeout of a rollback, after which the connection is closed. A rollback needs no slot on the
    * server, so that it does not wait for other statements.
@@ -49,7 +49,7 @@
   private static final Duration ROLLBACK_TIMEOUT = Duration.ofMillis(500);
 
   /** Rejects null components. */
-  SessionParts {
+  SessionContext {
     Objects.requireNonNull(views);
     Objects.requireNonNull(routings);
     Objects.requireNonNull(pools);
@@ -84,7 +84,7 @@
       return;
     }
     session
-        .runOwn(new Rollback(), ROLLBACK_TIMEOUT)
+        .runInternal(new Rollback(), ROLLBACK_TIMEOUT)
         .whenComplete(
             (reply, failure) -> {
               if (failure != null || !isRolledBack(reply)) {
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/SessionMetrics.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/SessionMetrics.java
@@ -110,19 +110,19 @@
     durations.get(reads).observe(seconds(durationNanos));
   }
 
-  void ranAtServer(long durationNanos) {
+  void recordServerTime(long durationNanos) {
     atServer.observe(seconds(durationNanos));
   }
 
-  void gotConnection(long durationNanos) {
+  void recordConnectionWait(long durationNanos) {
     connectionWait.observe(seconds(durationNanos));
   }
 
-  void refusedByServer(RefusalCode code) {
+  void countServerRefusal(RefusalCode code) {
     attemptsNotRun.labelValues(lowerCase(code)).inc();
   }
 
-  void ended(int triedServers) {
+  void recordTriedServers(int triedServers) {
     tries.observe(triedServers);
   }
 
@@ -130,11 +130,11 @@
     forwarded.labelValues(outcome).inc();
   }
 
-  void sentTwice() {
+  void countReadResend() {
     readResends.inc();
   }
 
-  void lostAnswer() {
+  void countLostReply() {
     lostReplies.inc();
   }
 
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/SessionService.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/SessionService.java
@@ -33,7 +33,7 @@
   /** Interval of the check for idle transactions: a tenth of the usual idle limit of 3 s. */
   private static final Duration IDLE_CHECK_INTERVAL = Duration.ofMillis(300);
 
-  private final SessionParts parts;
+  private final SessionContext context;
   private final SampleRefresher refresher;
   private final LocalStatements local;
   private final HeldStatements heldStatements;
@@ -44,7 +44,7 @@
   private final CompletableFuture<Void> firstView = new CompletableFuture<>();
   private final CompletableFuture<Void> servingStarted = new CompletableFuture<>();
   private volatile StatementForwarder forwarder = StatementForwarder.NONE;
-  private volatile Optional<Holders> holders = Optional.empty();
+  private volatile Optional<HolderSelector> holderSelector = Optional.empty();
   private volatile boolean draining;
 
   /**
@@ -71,8 +71,8 @@
             clock);
     GroupRoutings routings = new GroupRoutings(zone);
     SessionMetrics metrics = new SessionMetrics(registry);
-    parts =
-        new SessionParts(
+    context =
+        new SessionContext(
             views,
             routings,
             pools,
@@ -81,16 +81,16 @@
             wallClock,
             metrics,
             viewConfirmed,
-            new SampledLog(limits.routineLogSample()));
-    refresher = new SampleRefresher(parts);
-    local = new LocalStatements(parts, new ReadFloors(parts, refresher));
+            new LogSampler(limits.routineLogSample()));
+    refresher = new SampleRefresher(context);
+    local = new LocalStatements(context, new ReadFloors(context, refresher));
     heldStatements = new HeldStatements(local);
-    routings.searchLeadBy(refresher::searchLead);
+    routings.setPrimarySearch(refresher::searchPrimary);
     registerGauges(metrics);
     maxSessions = limits.maxSessions();
     admissionTimeoutMillis = limits.admissionTimeout().toMillis();
     delaysServing = !limits.servingDelay().isZero();
-    views.onChange(routings::follow);
+    views.onChange(routings::onViewChange);
     views.onChange(
         view -> {
           if (view.configuration().isPresent() && firstView.complete(null)) {
@@ -104,16 +104,16 @@
     metrics.gauge(
         "alderyard_configuration_number",
         "Number of the configuration that this host acts on.",
-        () -> parts.views().current().configuration().map(ConfigurationState::number).orElse(0L));
+        () -> context.views().current().configuration().map(ConfigurationState::number).orElse(0L));
     metrics.gauge(
         "alderyard_view_version",
         "Version of the view that this host acts on.",
-        () -> parts.views().current().version().version());
+        () -> context.views().current().version().version());
     for (WaitingStatements.Need need : WaitingStatements.Need.values()) {
       metrics.gauge(
           "alderyard_session_waiting_" + need.name().toLowerCase(Locale.ROOT),
           "Statements that wait for a server of this kind.",
-          () -> parts.routings().waiting(need));
+          () -> context.routings().queuedCount(need));
     }
     metrics.gauge(
         "alderyard_session_transactions_held",
@@ -125,24 +125,24 @@
     if (delay.isZero()) {
       servingStarted.complete(null);
     } else {
-      parts.workers().schedule(delay, () -> servingStarted.complete(null));
+      context.workers().schedule(delay, () -> servingStarted.complete(null));
     }
   }
 
   /** Starts the periodic check for idle transactions. */
   public void start() {
-    parts.workers().scheduleRepeatedly(IDLE_CHECK_INTERVAL, this::endIdleTransactions);
+    context.workers().scheduleRepeatedly(IDLE_CHECK_INTERVAL, this::endIdleTransactions);
   }
 
   private void endIdleTransactions() {
-    long now = parts.clock().nowNanos();
+    long now = context.clock().nowNanos();
     sessions.forEach(session -> session.endIdleTransaction(now));
     heldStatements.endAbandoned(now);
   }
 
   /** Starts to report to the control leader whether the primaries respond. */
-  public void startReports(ControlClient control, HostId self) {
-    new PrimaryReporter(control, self, parts, refresher).start();
+  public void startPrimaryReports(ControlClient control, HostId self) {
+    new PrimaryReporter(control, self, context, refresher).start();
   }
 
   /**
@@ -153,21 +153,21 @@
    * @param links for requests between hosts
    * @param statementLinks for callers' statements
    */
-  public void joinHosts(
+  public void connectToHosts(
       Dispatcher dispatcher, PeerLinks links, PeerLinks statementLinks, HostState self) {
-    Holders allHolders =
-        new Holders(
+    HolderSelector selector =
+        new HolderSelector(
             self.id(), self.zone(), host -> statementLinks.to(host.innerAddress()).isConnected());
-    PeerSamples peerSamples = new PeerSamples(links, allHolders, parts);
+    PeerSamples peerSamples = new PeerSamples(links, selector, context);
     peerSamples.serve(dispatcher);
-    refresher.askPeers(peerSamples);
+    refresher.setPeerSamples(peerSamples);
     heldStatements.registerMethods(dispatcher);
-    joinHosts(allHolders, new PeerLinkHolderClient(statementLinks), self);
+    connectToHosts(selector, new PeerLinkHolderClient(statementLinks), self);
   }
 
-  void joinHosts(Holders allHolders, HolderClient client, HostState self) {
-    holders = Optional.of(allHolders);
-    forwarder = new HolderForwarder(parts, allHolders, client, self);
+  void connectToHosts(HolderSelector selector, HolderClient client, HostState self) {
+    holderSelector = Optional.of(selector);
+    forwarder = new HolderForwarder(context, selector, client, self);
   }
 
   HeldStatements heldStatements() {
@@ -175,20 +175,21 @@
   }
 
   /** Returns how many connections to a server this host may open before it has a lease. */
-  public int firstConnections(ServerId server) {
-    View view = parts.views().current();
+  public int initialConnections(ServerId server) {
+    View view = context.views().current();
     return view.server(server)
-        .flatMap(state -> holders.map(current -> current.initialConnections(view, state.group())))
+        .flatMap(
+            state -> holderSelector.map(current -> current.initialConnections(view, state.group())))
         .orElse(1);
   }
 
-  SessionParts parts() {
-    return parts;
+  SessionContext context() {
+    return context;
   }
 
   /** Returns the connection pools; the host's leases set their sizes. */
   public ConnectionPools<?> pools() {
-    return parts.pools();
+    return context.pools();
   }
 
   /** Returns a future that completes with the first view, or after the limit. */
@@ -222,7 +223,7 @@
    * Runs a task when callers may connect: immediately, or, on a host with a serving delay, as soon
    * as sessions can be opened or the admission timeout has passed.
    */
-  public void whenCallersMayCome(Runnable task) {
+  public void whenServing(Runnable task) {
     if (delaysServing) {
       awaitServing().thenRun(task);
     } else {
@@ -238,14 +239,14 @@
               RefusalCode.BUSY,
               draining ? "this host is shutting down" : "too many open sessions"));
     }
-    Optional<ConfigurationState> configuration = parts.views().current().configuration();
+    Optional<ConfigurationState> configuration = context.views().current().configuration();
     if (configuration.isEmpty()) {
       return Optional.of(
           new Refusal(RefusalCode.BUSY, "this host has not received a configuration yet"));
     }
     return configuration.get().database(database).isPresent()
         ? Optional.empty()
-        : Optional.of(parts.unknownDatabase(database));
+        : Optional.of(context.unknownDatabase(database));
   }
 
   /** Opens a session. */
@@ -262,17 +263,17 @@
   }
 
   /** Refuses new statements and transactions of other hosts; open transactions continue. */
-  public void stopHolding() {
+  public void stopAcceptingForwarded() {
     heldStatements.stopAccepting();
   }
 
   /** Rolls back the open transactions of other hosts' callers. */
-  public void abortHeld() {
+  public void rollBackHeldTransactions() {
     heldStatements.rollBackAll();
   }
 
   /** Returns the number of open transactions of other hosts' callers. */
-  public int heldTransactions() {
+  public int heldTransactionCount() {
     return heldStatements.openTransactionCount();
   }
 
@@ -289,21 +290,23 @@
    * of them.
    */
   public boolean ready() {
-    View view = parts.views().current();
+    View view = context.views().current();
     return !draining && view.configuration().isPresent() && !isIsolated(view);
   }
 
   private boolean isIsolated(View view) {
-    if (parts.viewConfirmed().getAsBoolean()) {
+    if (context.viewConfirmed().getAsBoolean()) {
       return false;
     }
-    long now = parts.clock().nowNanos();
+    long now = context.clock().nowNanos();
     return view.groups().values().stream()
         .anyMatch(
             group ->
-                new Outlook(
-                        true, false, parts.routings().of(group.id()).primaryLostNanos(group, now))
-                    .hopeless());
+                new ServerSearchPolicy(
+                        true,
+                        false,
+                        context.routings().of(group.id()).primaryUnresponsiveNanos(group, now))
+                    .isIsolated());
   }
 
   /** Returns the number of open sessions. */
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/StatementAttempt.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/StatementAttempt.java
@@ -43,16 +43,16 @@
 
   private final StatementRun run;
   private final ServerState server;
-  private final SessionParts parts;
+  private final SessionContext context;
   private final StatementTask task;
-  private final ServerDemand requirement;
+  private final ServerRequirement requirement;
   private final GroupRouting routing;
   private long sentNanos;
 
   StatementAttempt(StatementRun run, ServerState server) {
     this.run = run;
     this.server = server;
-    this.parts = run.parts();
+    this.context = run.context();
     this.task = run.task();
     this.requirement = run.requirement();
     this.routing = run.routing();
@@ -60,16 +60,16 @@
 
   void start(long now) {
     routing.started(server, now);
-    parts
+    context
         .pools()
-        .take(server, task.database().priority(), run.remainingSearchTime(now))
+        .acquire(server, task.database().priority(), run.remainingSearchTime(now))
         .whenComplete(
             (session, failure) -> {
-              parts.metrics().gotConnection(parts.clock().nowNanos() - now);
+              context.metrics().recordConnectionWait(context.clock().nowNanos() - now);
               if (failure != null) {
                 connectionFailed(Futures.unwrap(failure));
               } else if (run.isDone()) {
-                parts.release(server, session);
+                context.release(server, session);
                 endAttempt();
               } else {
                 setUp(session);
@@ -82,7 +82,7 @@
     if (refused && ((ConnectRefusedException) failure).refusal() == RefusalCode.WRONG_SERVER) {
       routing.recordReplaced(server);
     } else if (!StatementRun.isConnectionLimit(failure)) {
-      routing.failed(server, parts.clock().nowNanos());
+      routing.failed(server, context.clock().nowNanos());
     }
     run.recordFailure(server, Futures.typed(failure).code());
     retryElsewhere();
@@ -103,7 +103,7 @@
   }
 
   private void setUp(PooledSession session) {
-    List<SessionRequest> setup = session.adopt(task.values(), task.prepared(), true);
+    List<SessionRequest> setup = session.setupRequests(task.values(), task.prepared(), true);
     requirement
         .begin()
         .ifPresent(
@@ -116,7 +116,7 @@
       send(session);
       return;
     }
-    long setupSentNanos = parts.clock().nowNanos();
+    long setupSentNanos = context.clock().nowNanos();
     session
         .run(setup, run.remainingTime(SETUP_TIMEOUT_MILLIS))
         .whenComplete(
@@ -130,20 +130,20 @@
   }
 
   private void lostDuringSetup(PooledSession session) {
-    routing.failed(server, parts.clock().nowNanos());
+    routing.failed(server, context.clock().nowNanos());
     run.recordFailure(server, "lost-before-sending");
-    parts.discard(server, session);
+    context.discard(server, session);
     retryElsewhere();
   }
 
   private void setupCompleted(
       PooledSession session, long setupSentNanos, List<SessionReply> replies) {
-    long now = parts.clock().nowNanos();
+    long now = context.clock().nowNanos();
     SessionReply lastReply = replies.get(replies.size() - 1);
     int setupCount = requirement.begin().isPresent() ? replies.size() - 1 : replies.size();
     if (replies.subList(0, setupCount).stream().anyMatch(reply -> !reply.succeeded())) {
       run.recordFailure(server, "values-refused");
-      parts.discard(server, session);
+      context.discard(server, session);
       retryElsewhere();
       return;
     }
@@ -154,7 +154,7 @@
     }
     if (requirement.needsPrimary() && requirement.begin().isPresent()) {
       routing.confirmPrimary(server);
-      lastReply.position().ifPresent(position -> routing.sampled(setupSentNanos, position));
+      lastReply.position().ifPresent(position -> routing.addSample(setupSentNanos, position));
     }
     send(session);
   }
@@ -162,9 +162,9 @@
   private void beginRefused(PooledSession session, SessionReply refusal) {
     recordRefusal(refusal);
     if (refusal.state() == TransactionState.NONE) {
-      parts.release(server, session);
+      context.release(server, session);
     } else {
-      parts.rollBackAndRelease(server, session);
+      context.rollBackAndRelease(server, session);
     }
     retryElsewhere();
   }
@@ -172,11 +172,13 @@
   /** Records why a server refused. */
   private void recordRefusal(SessionReply refused) {
     RefusalCode code = refused.refusal().orElseThrow().code();
-    parts.metrics().refusedByServer(code);
+    context.metrics().countServerRefusal(code);
     run.recordFailure(server, code);
-    long now = parts.clock().nowNanos();
+    long now = context.clock().nowNanos();
     if (code == RefusalCode.NOT_PRIMARY) {
-      parts.group(task.database().group()).ifPresent(group -> routing.doesNotLead(server, group));
+      context
+          .group(task.database().group())
+          .ifPresent(group -> routing.recordNotPrimary(server, group));
     } else if (code == RefusalCode.BEHIND) {
       requirement.floor().ifPresent(floor -> routing.recordMissingPosition(server, floor, now));
     } else if (code == RefusalCode.BUSY) {
@@ -185,7 +187,7 @@
   }
 
   private void send(PooledSession session) {
-    sentNanos = parts.clock().nowNanos();
+    sentNanos = context.clock().nowNanos();
     SessionRequest request =
         requirement.begin().isEmpty()
             ? requirement
@@ -213,7 +215,7 @@
    * not: a transaction runs on one connection and ends when that connection is lost.
    */
   private boolean isRepeatable() {
-    return task.kind() == StatementKind.READ && !task.ending();
+    return task.kind() == StatementKind.READ && !task.endsTransaction();
   }
 
   /**
@@ -224,7 +226,7 @@
     long millis =
         Math.max(
             MIN_HEDGE_DELAY_MILLIS, (long) (routing.latencyMillis(server) * HEDGE_LATENCY_FACTOR));
-    parts
+    context
         .workers()
         .schedule(
             Duration.ofMillis(millis),
@@ -232,22 +234,22 @@
               if (!run.reserveHedge()) {
                 return;
               }
-              parts.metrics().sentTwice();
+              context.metrics().countReadResend();
               run.recordFailure(server, "slow");
               run.tryNextServer();
             });
   }
 
   private void responseLost(PooledSession session, AlderyardException failure) {
-    long now = parts.clock().nowNanos();
+    long now = context.clock().nowNanos();
     if (failure.code() == ErrorCode.DEADLINE_EXCEEDED && !requirement.needsPrimary()) {
       routing.failed(server, now);
     } else {
-      routing.doubted(server, now);
+      routing.responseLost(server, now);
     }
-    parts.metrics().lostAnswer();
+    context.metrics().countLostReply();
     run.recordFailure(server, "lost-after-sending");
-    parts.discard(server, session);
+    context.discard(server, session);
     boolean deadlinePassed = task.deadlineNanos() - now <= 0;
     if (isRepeatable() && !requirement.keepOpen() && deadlinePassed) {
       endAttempt();
@@ -283,15 +285,15 @@
   }
 
   private TransactionState stateAfterRefusal() {
-    return requirement.keepOpen() && !task.ending()
+    return requirement.keepOpen() && !task.endsTransaction()
         ? TransactionState.FAILED
         : TransactionState.NONE;
   }
 
   private void replyReceived(PooledSession session, SessionReply reply) {
-    long now = parts.clock().nowNanos();
-    routing.answered(server, now, now - sentNanos, !notRun(reply), reply.position());
-    parts.metrics().ranAtServer(now - sentNanos);
+    long now = context.clock().nowNanos();
+    routing.answered(server, now, now - sentNanos, !refusedBeforeRun(reply), reply.position());
+    context.metrics().recordServerTime(now - sentNanos);
     if (reply.succeeded()) {
       logSuccess(now);
       handleSuccess(session, reply);
@@ -309,7 +311,7 @@
     boolean mayRetryFailure =
         code == RefusalCode.FAILED && isRepeatable() && !requirement.keepOpen();
     releaseConnection(session, reply);
-    if (notRun(reply) && !(task.ending() && code == RefusalCode.NOT_PRIMARY)) {
+    if (refusedBeforeRun(reply) && !(task.endsTransaction() && code == RefusalCode.NOT_PRIMARY)) {
       retryElsewhere();
     } else if (mayRetryFailure && run.storeFailure(reply.inState(TransactionState.NONE))) {
       retryElsewhere();
@@ -336,14 +338,14 @@
   }
 
   /** Returns whether the server refused the statement before assigning it a slot. */
-  static boolean notRun(SessionReply reply) {
+  static boolean refusedBeforeRun(SessionReply reply) {
     return reply.refusedWith(RefusalCode.BUSY)
         || reply.refusedWith(RefusalCode.NOT_PRIMARY)
         || reply.refusedWith(RefusalCode.BEHIND);
   }
 
   private void logSuccess(long now) {
-    if (!parts.routineLog().shouldLog()) {
+    if (!context.routineLog().shouldLog()) {
       return;
     }
     log.info(
@@ -359,37 +361,37 @@
             .floor()
             .map(floor -> TimeUnit.NANOSECONDS.toMillis(now - floor.sinceNanos()))
             .orElse(0L),
-        parts.views().current().version(),
+        context.views().current().version(),
         TimeUnit.NANOSECONDS.toMillis(now - sentNanos),
         run.attemptCount());
   }
 
   private void releaseConnection(PooledSession session, SessionReply reply) {
     if (requirement.begin().isPresent() || reply.state() != TransactionState.NONE) {
-      parts.rollBackAndRelease(server, session);
+      context.rollBackAndRelease(server, session);
     } else {
-      parts.release(server, session);
+      context.release(server, session);
     }
   }
 
   private void handleSuccess(PooledSession session, SessionReply reply) {
     if (task.kind() == StatementKind.WRITE && requirement.begin().isEmpty()) {
       routing.confirmPrimary(server);
-      reply.position().ifPresent(position -> routing.sampled(sentNanos, position));
+      reply.position().ifPresent(position -> routing.addSample(sentNanos, position));
     }
     endAttempt();
-    if (requirement.keepOpen() && !task.ending()) {
-      PinnedConnection pinned = new PinnedConnection(parts, server, session);
+    if (requirement.keepOpen() && !task.endsTransaction()) {
+      PinnedConnection pinned = new PinnedConnection(context, server, session);
       if (!run.complete(reply.inState(TransactionState.OPEN), Optional.of(pinned))) {
-        parts.rollBackAndRelease(server, session);
+        context.rollBackAndRelease(server, session);
       }
       return;
     }
     run.complete(reply.inState(TransactionState.NONE), Optional.empty());
     if (requirement.begin().isPresent() && reply.state() != TransactionState.NONE) {
-      parts.rollBackAndRelease(server, session);
+      context.rollBackAndRelease(server, session);
     } else {
-      parts.release(server, session);
+      context.release(server, session);
     }
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/StatementRun.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/StatementRun.java
@@ -56,9 +56,9 @@
   /** Bounds the retries on a server that loses a prepared statement each time it is prepared. */
   private static final int MAX_PREPARE_RETRIES = 2;
 
-  private final SessionParts parts;
+  private final SessionContext context;
   private final StatementTask task;
-  private final ServerDemand requirement;
+  private final ServerRequirement requirement;
   private final GroupRouting routing;
   private final long startNanos;
   private final CompletableFuture<Result> result = new CompletableFuture<>();
@@ -72,12 +72,12 @@
   private int prepareRetries;
   private Optional<SessionReply> failureReply = Optional.empty();
 
-  StatementRun(SessionParts parts, StatementTask task, ServerDemand requirement) {
-    this.parts = parts;
+  StatementRun(SessionContext context, StatementTask task, ServerRequirement requirement) {
+    this.context = context;
     this.task = task;
     this.requirement = requirement;
-    this.routing = parts.routings().of(task.database().group());
-    this.startNanos = parts.clock().nowNanos();
+    this.routing = context.routings().of(task.database().group());
+    this.startNanos = context.clock().nowNanos();
   }
 
   /**
@@ -98,7 +98,7 @@
     if (result.isDone()) {
       return;
     }
-    long now = parts.clock().nowNanos();
+    long now = context.clock().nowNanos();
     Optional<ServerState> selected;
     synchronized (this) {
       boolean deadlineNear = task.deadlineNanos() - now < MIN_EXECUTION_NANOS;
@@ -116,7 +116,7 @@
       new StatementAttempt(this, selected.get()).start(now);
       return;
     }
-    Outlook searchPolicy = searchPolicy(now);
+    ServerSearchPolicy searchPolicy = searchPolicy(now);
     if (searchPolicy.isSearchOver(now - startNanos, timeoutNanos(), objectiveNanos())) {
       refuse(now, searchPolicy);
       return;
@@ -139,8 +139,8 @@
             requirement.needsPrimary() ? WaitingStatements.Need.LEAD : WaitingStatements.Need.READ,
             task.database().priority(),
             task.deadlineNanos(),
-            () -> parts.workers().execute(this::tryNextServer));
-    parts
+            () -> context.workers().execute(this::tryNextServer));
+    context
         .workers()
         .schedule(
             Duration.ofMillis(backoffMillis),
@@ -159,21 +159,24 @@
     Optional<ServerId> primary = presumedPrimary();
     return routing
         .readCandidates(
-            parts.servers(task.database().group()), primary, requirement.floor().orElseThrow(), now)
+            context.servers(task.database().group()),
+            primary,
+            requirement.floor().orElseThrow(),
+            now)
         .stream()
         .filter(server -> mayTry(server, primary.filter(server.id()::equals).isPresent(), now))
         .findFirst();
   }
 
   private Optional<ServerState> selectPrimary(long now) {
-    Optional<GroupState> group = parts.group(task.database().group());
+    Optional<GroupState> group = context.group(task.database().group());
     if (group.isEmpty()) {
       return Optional.empty();
     }
-    List<ServerState> servers = parts.servers(task.database().group());
+    List<ServerState> servers = context.servers(task.database().group());
     Optional<ServerState> primary = routing.availablePrimary(servers, group.get(), now);
     if (primary.isEmpty()) {
-      parts.routings().startPrimarySearch(group.get());
+      context.routings().startPrimarySearch(group.get());
     }
     return primary.filter(server -> mayTry(server, true, now));
   }
@@ -184,20 +187,20 @@
   }
 
   private Optional<ServerId> presumedPrimary() {
-    return parts.group(task.database().group()).flatMap(routing::presumedPrimary);
+    return context.group(task.database().group()).flatMap(routing::presumedPrimary);
   }
 
-  private Outlook searchPolicy(long now) {
-    return new Outlook(
+  private ServerSearchPolicy searchPolicy(long now) {
+    return new ServerSearchPolicy(
         requirement.needsPrimary(),
-        parts.viewConfirmed().getAsBoolean(),
-        parts
+        context.viewConfirmed().getAsBoolean(),
+        context
             .group(task.database().group())
-            .map(group -> routing.primaryLostNanos(group, now))
+            .map(group -> routing.primaryUnresponsiveNanos(group, now))
             .orElse(OptionalLong.empty()));
   }
 
-  private void refuse(long now, Outlook searchPolicy) {
+  private void refuse(long now, ServerSearchPolicy searchPolicy) {
     String reasons;
     synchronized (this) {
       reasons =
@@ -216,7 +219,7 @@
         requirement.needsPrimary(),
         requirement.floor().map(floor -> floor.position().toString()).orElse("lead"),
         routing.newestSampleAgeNanos(now).map(TimeUnit.NANOSECONDS::toMillis).orElse(-1L),
-        parts.views().current().version(),
+        context.views().current().version(),
         searchPolicy.viewConfirmed(),
         TimeUnit.NANOSECONDS.toMillis(searchPolicy.primaryUnresponsiveNanos().orElse(0)),
         TimeUnit.NANOSECONDS.toMillis(now - startNanos),
@@ -233,7 +236,7 @@
   boolean complete(SessionReply reply, Optional<PinnedConnection> pinned) {
     boolean first = result.complete(new Result(reply, pinned));
     if (first) {
-      parts.metrics().ended(attemptCount());
+      context.metrics().recordTriedServers(attemptCount());
     }
     return first;
   }
@@ -246,7 +249,7 @@
   }
 
   Duration remainingTime(long capMillis) {
-    long nanos = task.deadlineNanos() - parts.clock().nowNanos();
+    long nanos = task.deadlineNanos() - context.clock().nowNanos();
     long capped = Math.min(nanos, TimeUnit.MILLISECONDS.toNanos(capMillis));
     return Duration.ofNanos(Math.max(1, capped));
   }
@@ -323,15 +326,15 @@
     return attempts;
   }
 
-  SessionParts parts() {
-    return parts;
+  SessionContext context() {
+    return context;
   }
 
   StatementTask task() {
     return task;
   }
 
-  ServerDemand requirement() {
+  ServerRequirement requirement() {
     return requirement;
   }
 
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/StatementTask.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/StatementTask.java
@@ -13,7 +13,7 @@
  *
  * @param request the request to send to the server
  * @param kind whether the statement may change data
- * @param ending whether the statement ends a transaction
+ * @param endsTransaction whether the statement ends a transaction
  * @param prepared the prepared statement to execute, if any
  * @param database the database of the statement
  * @param values the session values to apply before the statement
@@ -22,7 +22,7 @@
 record StatementTask(
     SessionRequest request,
     StatementKind kind,
-    boolean ending,
+    boolean endsTransaction,
     Optional<Prepare> prepared,
     DatabaseState database,
     Map<String, String> values,
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/TransactionStatement.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/TransactionStatement.java
@@ -11,14 +11,14 @@
  * transaction, on this host or on a holder, and further statements run there.
  */
 final class TransactionStatement {
-  private final SessionParts parts;
+  private final SessionContext context;
   private final TransactionOwner owner;
   private final OpenTransaction open;
   private final StatementTask task;
 
   TransactionStatement(
-      SessionParts parts, TransactionOwner owner, OpenTransaction open, StatementTask task) {
-    this.parts = parts;
+      SessionContext context, TransactionOwner owner, OpenTransaction open, StatementTask task) {
+    this.context = context;
     this.owner = owner;
     this.open = open;
     this.task = task;
@@ -58,8 +58,10 @@
     return floor
         .thenApply(
             readFloor ->
-                readFloor.map(ServerDemand::readTransaction).orElseGet(ServerDemand::transaction))
-        .thenCompose(demand -> new StatementRun(parts, task, demand).run())
+                readFloor
+                    .map(ServerRequirement::readTransaction)
+                    .orElseGet(ServerRequirement::transaction))
+        .thenCompose(requirement -> new StatementRun(context, task, requirement).run())
         .thenApply(
             result -> handleFirstReply(result.reply(), result.pinned().map(pinned -> pinned)));
   }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/drain/RequestsInFlight.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/drain/RequestsInFlight.java
@@ -40,7 +40,7 @@
    * Runs a request that only this host can complete, also while draining: a request from another
    * proxy that considers this host the owner, or a request of an open transaction.
    */
-  public <T> CompletableFuture<T> runToTheEnd(Supplier<CompletableFuture<T>> request) {
+  public <T> CompletableFuture<T> runEvenIfDraining(Supplier<CompletableFuture<T>> request) {
     synchronized (this) {
       count++;
     }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/freshness/FreshnessTable.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/freshness/FreshnessTable.java
@@ -21,7 +21,7 @@
     Set<GroupId> currentGroups = view.groups().keySet();
     groups.keySet().retainAll(currentGroups);
     for (GroupState group : view.groups().values()) {
-      group(group.id()).follow(group, view.serversOf(group.id()).size());
+      group(group.id()).onViewChange(group, view.serversOf(group.id()).size());
     }
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/freshness/GroupFreshness.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/freshness/GroupFreshness.java
@@ -44,7 +44,7 @@
    * @param group the group in the new view
    * @param serverCount the number of registered servers of the group, in any status
    */
-  public synchronized void follow(GroupState group, int serverCount) {
+  public synchronized void onViewChange(GroupState group, int serverCount) {
     if (group.term() != term) {
       OptionalLong confirmedNanos = confirmedNanos();
       // Measurements of the old primary after the last confirmed time may date from after its
@@ -152,7 +152,7 @@
   }
 
   /** Returns a time by which the primary had written the position; empty if not measured. */
-  public synchronized OptionalLong reachedBy(Position position) {
+  public synchronized OptionalLong writtenBy(Position position) {
     return primaryHistory.earliestAtOrAfter(position);
   }
 
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/lease/LeaseClient.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/lease/LeaseClient.java
@@ -38,7 +38,7 @@
   private final ViewHolder views;
   private final LeaseTable leases;
   private final ConnectionPools<?> pools;
-  private final ConnectionWish target;
+  private final ConnectionTarget target;
   private final AtomicLong sequence = new AtomicLong();
   private final AtomicBoolean requestPending = new AtomicBoolean();
 
@@ -53,7 +53,7 @@
       ViewHolder views,
       LeaseTable leases,
       ConnectionPools<?> pools,
-      ConnectionWish target) {
+      ConnectionTarget target) {
     this.control = Objects.requireNonNull(control);
     this.self = Objects.requireNonNull(self);
     this.views = Objects.requireNonNull(views);
@@ -114,15 +114,15 @@
    */
   private Optional<ConnectionDemand> demand(ServerState server, long requestNumber) {
     PoolUse use = pools.takeUse(server.id());
-    int wanted = target.wanted(server.id(), use);
-    if (wanted == 0 && use.open() == 0 && leases.hasNoLease(server.id())) {
+    int targetConnections = target.targetConnections(server.id(), use);
+    if (targetConnections == 0 && use.open() == 0 && leases.hasNoLease(server.id())) {
       return Optional.empty();
     }
     return Optional.of(
         ConnectionDemand.newBuilder()
             .setServer(server.id().value())
             .setHeld(leases.request(server.id(), requestNumber, use.open()))
-            .setWanted(wanted)
+            .setWanted(targetConnections)
             .build());
   }
 
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/lease/PeakWish.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/lease/PeakConnectionTarget.java
@@ -12,7 +12,7 @@
  * unmet demand: a proxy with sixty queued statements requested three connections and ran one
  * statement at a time. Statements queued before the limiter of a server therefore count as demand.
  */
-public final class PeakWish implements ConnectionWish {
+public final class PeakConnectionTarget implements ConnectionTarget {
   /**
    * The number of connections requested beyond recent use, so that a connection is available when
    * load rises.
@@ -26,12 +26,12 @@
    *
    * @param queued returns the maximum number of statements queued for a server since the last call
    */
-  public PeakWish(ToIntFunction<ServerId> queued) {
+  public PeakConnectionTarget(ToIntFunction<ServerId> queued) {
     this.queued = Objects.requireNonNull(queued);
   }
 
   @Override
-  public int wanted(ServerId server, PoolUse use) {
+  public int targetConnections(ServerId server, PoolUse use) {
     return use.peakInUse() + use.queuedRequests() + queued.applyAsInt(server) + HEADROOM;
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/lease/SteadyWish.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/lease/SmoothedConnectionTarget.java
@@ -18,7 +18,7 @@
  *
  * <p>Thread-safe. The lock is this object; the demand is read while the lock is held.
  */
-public final class SteadyWish implements ConnectionWish {
+public final class SmoothedConnectionTarget implements ConnectionTarget {
   /** The fraction of the smoothed demand that remains after each call with less demand. */
   private static final double DECAY = 0.9;
 
@@ -44,12 +44,12 @@
    * @param meanDemand returns the time-weighted mean number of connections in use or requested
    *     since the last call
    */
-  public SteadyWish(ToDoubleFunction<ServerId> meanDemand) {
+  public SmoothedConnectionTarget(ToDoubleFunction<ServerId> meanDemand) {
     this.meanDemand = Objects.requireNonNull(meanDemand);
   }
 
   @Override
-  public synchronized int wanted(ServerId server, PoolUse use) {
+  public synchronized int targetConnections(ServerId server, PoolUse use) {
     double mean = meanDemand.applyAsDouble(server);
     double smoothedDemand = Math.max(mean, smoothedDemands.getOrDefault(server, 0.0) * DECAY);
     smoothedDemands.put(server, smoothedDemand);
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/ledger/OwnerLedger.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/ledger/OwnerLedger.java
@@ -84,7 +84,7 @@
   /**
    * Notifies the ledger that this proxy has regained its view lease after the lease had expired.
    */
-  public void viewLeaseLapsed() {
+  public void onViewLeaseRegained() {
     owners.resetOwnership(wallClock.millis());
   }
 
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/ledger/LedgeredWrites.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/ledger/WriteExecutor.java
@@ -8,7 +8,7 @@
 import org.alderyard.proxy.write.WriteRequest;
 
 /** Runs writes; a write with a request ID runs under the ledger that serves its group. */
-public final class LedgeredWrites {
+public final class WriteExecutor {
   private final WritePath writes;
   private final Predicate<GroupId> hasServerLedger;
   private final RequestLedger serverLedger;
@@ -20,7 +20,7 @@
    * @param hasServerLedger whether all servers of a group record writes under their ledger keys
    * @param ownerLedger the ledger for the groups whose servers do not record ledger keys
    */
-  public LedgeredWrites(
+  public WriteExecutor(
       WritePath writes, Predicate<GroupId> hasServerLedger, RequestLedger ownerLedger) {
     this.writes = writes;
     this.hasServerLedger = hasServerLedger;
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/GateChange.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/AdmissionResult.java
@@ -4,26 +4,26 @@
 import java.util.List;
 
 /**
- * The statements that a {@link ServerGate} starts and refuses in response to one event.
+ * The statements that a {@link ServerLimiter} starts and refuses in response to one event.
  *
  * <p>The caller of the limiter runs and fails them.
  *
  * @param <T> the type of the work item
  */
-public final class GateChange<T> {
-  private final List<Entrant<T>> started = new ArrayList<>();
+public final class AdmissionResult<T> {
+  private final List<QueuedStatement<T>> started = new ArrayList<>();
   private final List<Refused<T>> refused = new ArrayList<>();
 
-  void start(Entrant<T> entrant) {
-    started.add(entrant);
+  void start(QueuedStatement<T> statement) {
+    started.add(statement);
   }
 
-  void refuse(Entrant<T> entrant, RefusalReason reason, long retryAfterMillis) {
-    refused.add(new Refused<>(entrant, reason, retryAfterMillis));
+  void refuse(QueuedStatement<T> statement, RefusalReason reason, long retryAfterMillis) {
+    refused.add(new Refused<>(statement, reason, retryAfterMillis));
   }
 
   /** Returns the statements to start. */
-  public List<Entrant<T>> started() {
+  public List<QueuedStatement<T>> started() {
     return started;
   }
 
@@ -35,10 +35,11 @@
   /**
    * A refused statement.
    *
-   * @param entrant the statement
+   * @param statement the statement
    * @param reason the reason for the refusal
    * @param retryAfterMillis the delay after which the caller may retry, in milliseconds
    * @param <T> the type of the work item
    */
-  public record Refused<T>(Entrant<T> entrant, RefusalReason reason, long retryAfterMillis) {}
+  public record Refused<T>(
+      QueuedStatement<T> statement, RefusalReason reason, long retryAfterMillis) {}
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/FairQueue.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/FairQueue.java
@@ -20,33 +20,34 @@
  * @param <T> the type of the work item
  */
 final class FairQueue<T> {
-  private final Map<PoolName, Map<Flow, ArrayDeque<Entrant<T>>>> pools = new LinkedHashMap<>();
+  private final Map<PoolName, Map<Flow, ArrayDeque<QueuedStatement<T>>>> pools =
+      new LinkedHashMap<>();
   private int size;
   private int flowCount;
 
-  void add(Entrant<T> entrant) {
-    Map<Flow, ArrayDeque<Entrant<T>>> callers =
-        pools.computeIfAbsent(entrant.flow().pool(), pool -> new LinkedHashMap<>());
-    ArrayDeque<Entrant<T>> queue = callers.get(entrant.flow());
+  void add(QueuedStatement<T> statement) {
+    Map<Flow, ArrayDeque<QueuedStatement<T>>> callers =
+        pools.computeIfAbsent(statement.flow().pool(), pool -> new LinkedHashMap<>());
+    ArrayDeque<QueuedStatement<T>> queue = callers.get(statement.flow());
     if (queue == null) {
       queue = new ArrayDeque<>();
-      callers.put(entrant.flow(), queue);
+      callers.put(statement.flow(), queue);
       flowCount++;
     }
-    queue.addLast(entrant);
+    queue.addLast(statement);
     size++;
   }
 
   /** Removes and returns the next statement in round-robin order. */
-  Optional<Entrant<T>> poll() {
+  Optional<QueuedStatement<T>> poll() {
     if (size == 0) {
       return Optional.empty();
     }
     PoolName pool = pools.keySet().iterator().next();
-    Map<Flow, ArrayDeque<Entrant<T>>> callers = pools.remove(pool);
+    Map<Flow, ArrayDeque<QueuedStatement<T>>> callers = pools.remove(pool);
     Flow flow = callers.keySet().iterator().next();
-    ArrayDeque<Entrant<T>> queue = callers.remove(flow);
-    final Entrant<T> next = queue.removeFirst();
+    ArrayDeque<QueuedStatement<T>> queue = callers.remove(flow);
+    final QueuedStatement<T> next = queue.removeFirst();
     size--;
     if (queue.isEmpty()) {
       flowCount--;
@@ -64,10 +65,10 @@
    * Removes and returns the newest statement of the longest flow, provided that this flow stays at
    * least as long as the given flow with one more statement.
    */
-  Optional<Entrant<T>> displaceFor(Flow flow) {
-    ArrayDeque<Entrant<T>> longest = null;
-    for (Map<Flow, ArrayDeque<Entrant<T>>> callers : pools.values()) {
-      for (ArrayDeque<Entrant<T>> queue : callers.values()) {
+  Optional<QueuedStatement<T>> displaceFor(Flow flow) {
+    ArrayDeque<QueuedStatement<T>> longest = null;
+    for (Map<Flow, ArrayDeque<QueuedStatement<T>>> callers : pools.values()) {
+      for (ArrayDeque<QueuedStatement<T>> queue : callers.values()) {
         if (longest == null || queue.size() > longest.size()) {
           longest = queue;
         }
@@ -81,8 +82,8 @@
   }
 
   /** Removes and returns all statements that match the condition. */
-  List<Entrant<T>> removeIf(Predicate<Entrant<T>> condition) {
-    List<Entrant<T>> removed = new ArrayList<>();
+  List<QueuedStatement<T>> removeIf(Predicate<QueuedStatement<T>> condition) {
+    List<QueuedStatement<T>> removed = new ArrayList<>();
     pools
         .values()
         .removeIf(
@@ -91,7 +92,8 @@
                   .values()
                   .removeIf(
                       queue -> {
-                        queue.removeIf(entrant -> condition.test(entrant) && removed.add(entrant));
+                        queue.removeIf(
+                            statement -> condition.test(statement) && removed.add(statement));
                         return queue.isEmpty();
                       });
               return callers.isEmpty();
@@ -102,7 +104,7 @@
   }
 
   int lengthOf(Flow flow) {
-    ArrayDeque<Entrant<T>> queue = pools.getOrDefault(flow.pool(), Map.of()).get(flow);
+    ArrayDeque<QueuedStatement<T>> queue = pools.getOrDefault(flow.pool(), Map.of()).get(flow);
     return queue == null ? 0 : queue.size();
   }
 
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/LeasedSlots.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/LeaseShareLimit.java
@@ -13,7 +13,7 @@
  * measurement. Twice the number of slots is shared out, so that the next statement is already at
  * the server when one ends.
  */
-public final class LeasedSlots implements ConcurrencyLimit {
+public final class LeaseShareLimit implements ConcurrencyLimit {
   static final int OVERSUBSCRIPTION = 2;
 
   private final int slots;
@@ -28,7 +28,7 @@
    * @param maxConnections supplies the number of connections that the server accepts from all
    *     proxies
    */
-  public LeasedSlots(int slots, IntSupplier leasedConnections, IntSupplier maxConnections) {
+  public LeaseShareLimit(int slots, IntSupplier leasedConnections, IntSupplier maxConnections) {
     this.slots = Math.max(1, slots);
     this.leasedConnections = Objects.requireNonNull(leasedConnections);
     this.maxConnections = Objects.requireNonNull(maxConnections);
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/Entrant.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/QueuedStatement.java
@@ -11,10 +11,10 @@
  * @param work the item that is handed back when the statement is started or refused
  * @param <T> the type of the work item
  */
-public record Entrant<T>(Flow flow, boolean write, long deadlineNanos, T work) {
+public record QueuedStatement<T>(Flow flow, boolean write, long deadlineNanos, T work) {
 
   /** Validates the components. */
-  public Entrant {
+  public QueuedStatement {
     Objects.requireNonNull(flow);
     Objects.requireNonNull(work);
   }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/RetryBudget.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/RetryBudget.java
@@ -14,7 +14,7 @@
   public static final double DEFAULT_SHARE = 0.1;
 
   /** The default maximum number of accumulated resends. */
-  public static final double DEFAULT_SAVED = 10;
+  public static final double DEFAULT_MAX_RESENDS = 10;
 
   private final double share;
   private final double maxAvailable;
@@ -28,7 +28,7 @@
   }
 
   /** Records a first attempt, which adds {@code share} to the budget. */
-  public synchronized void firstTry() {
+  public synchronized void recordFirstAttempt() {
     available = Math.min(maxAvailable, available + share);
   }
 
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/ServerGate.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/ServerLimiter.java
@@ -16,13 +16,13 @@
  *
  * <p>Writes are started before reads, because only the primary can run them. At a primary, reads
  * leave one slot free for writes, unless the limit is 1, and only a few of them may queue; {@link
- * #readRoom()} returns the remaining number.
+ * #readCapacity()} returns the remaining number.
  *
- * <p>Not thread-safe; {@link Gates} provides the locking.
+ * <p>Not thread-safe; {@link ServerLimiters} provides the locking.
  *
  * @param <T> the type of the work item
  */
-public final class ServerGate<T> {
+public final class ServerLimiter<T> {
   private static final double SERVICE_TIME_SMOOTHING = 0.1;
 
   /** The number of mean deviations added to the mean service time to estimate a slow statement. */
@@ -44,33 +44,33 @@
   private double deviationNanos;
 
   /** Creates a limiter with no statements. */
-  public ServerGate(ConcurrencyLimit limit, int queueCapacity) {
+  public ServerLimiter(ConcurrencyLimit limit, int queueCapacity) {
     this.limit = Objects.requireNonNull(limit);
     this.queueCapacity = queueCapacity;
   }
 
   /** Sets whether the server is the primary. Reads at a primary leave capacity for writes. */
-  public void primary(boolean isPrimary) {
+  public void setPrimary(boolean isPrimary) {
     this.primary = isPrimary;
   }
 
   /** Queues or refuses a new statement, and starts queued statements if capacity is available. */
-  public GateChange<T> enter(Entrant<T> entrant, long nowNanos) {
-    GateChange<T> change = new GateChange<>();
-    FairQueue<T> queue = queueOf(entrant);
-    long waitNanos = expectedWaitNanos(entrant, queue);
-    boolean missesDeadline = nowNanos + waitNanos + slowServiceNanos() > entrant.deadlineNanos();
+  public AdmissionResult<T> submit(QueuedStatement<T> statement, long nowNanos) {
+    AdmissionResult<T> result = new AdmissionResult<>();
+    FairQueue<T> queue = queueOf(statement);
+    long waitNanos = expectedWaitNanos(statement, queue);
+    boolean missesDeadline = nowNanos + waitNanos + slowServiceNanos() > statement.deadlineNanos();
     if (missesDeadline) {
-      change.refuse(entrant, RefusalReason.WOULD_MISS_DEADLINE, retryAfterMillis());
-      return change;
+      result.refuse(statement, RefusalReason.WOULD_MISS_DEADLINE, retryAfterMillis());
+      return result;
     }
-    if (queued() >= queueCapacity && !displaceQueued(entrant, queue, change)) {
-      change.refuse(entrant, RefusalReason.QUEUE_FULL, retryAfterMillis());
-      return change;
+    if (queued() >= queueCapacity && !displaceQueued(statement, queue, result)) {
+      result.refuse(statement, RefusalReason.QUEUE_FULL, retryAfterMillis());
+      return result;
     }
-    queue.add(entrant);
-    startQueued(nowNanos, change);
-    return change;
+    queue.add(statement);
+    startQueued(nowNanos, result);
+    return result;
   }
 
   /**
@@ -80,7 +80,8 @@
    * @param latencyNanos the time the server took, in nanoseconds; 0 if the statement was not sent
    * @param answered whether the server answered
    */
-  public GateChange<T> leave(boolean write, long latencyNanos, boolean answered, long nowNanos) {
+  public AdmissionResult<T> complete(
+      boolean write, long latencyNanos, boolean answered, long nowNanos) {
     if (latencyNanos > 0) {
       limit.sample(latencyNanos, inFlight(), answered);
       recordServiceTime(latencyNanos);
@@ -90,9 +91,9 @@
     } else {
       readsInFlight--;
     }
-    GateChange<T> change = new GateChange<>();
-    startQueued(nowNanos, change);
-    return change;
+    AdmissionResult<T> result = new AdmissionResult<>();
+    startQueued(nowNanos, result);
+    return result;
   }
 
   private void recordServiceTime(long latencyNanos) {
@@ -114,24 +115,24 @@
   }
 
   /** Refuses queued statements that can no longer meet their deadlines. */
-  public GateChange<T> sweep(long nowNanos) {
-    GateChange<T> change = new GateChange<>();
+  public AdmissionResult<T> sweep(long nowNanos) {
+    AdmissionResult<T> result = new AdmissionResult<>();
     for (FairQueue<T> queue : List.of(writes, reads)) {
       queue
-          .removeIf(entrant -> wouldMissDeadline(entrant, nowNanos))
-          .forEach(e -> change.refuse(e, RefusalReason.DEADLINE_NEAR, retryAfterMillis()));
+          .removeIf(statement -> wouldMissDeadline(statement, nowNanos))
+          .forEach(e -> result.refuse(e, RefusalReason.DEADLINE_NEAR, retryAfterMillis()));
     }
-    return change;
+    return result;
   }
 
   /** Removes a queued statement. Returns whether the statement was queued. */
   public boolean cancel(T work) {
-    return !writes.removeIf(entrant -> entrant.work() == work).isEmpty()
-        || !reads.removeIf(entrant -> entrant.work() == work).isEmpty();
+    return !writes.removeIf(statement -> statement.work() == work).isEmpty()
+        || !reads.removeIf(statement -> statement.work() == work).isEmpty();
   }
 
   /** Returns how many further reads a primary accepts. May be negative. */
-  public int readRoom() {
+  public int readCapacity() {
     int concurrentReads = maxConcurrentReads();
     return concurrentReads * (1 + QUEUED_READS_FACTOR) - readsInFlight - reads.size();
   }
@@ -151,13 +152,13 @@
     return limit.current();
   }
 
-  private FairQueue<T> queueOf(Entrant<T> entrant) {
-    return entrant.write() ? writes : reads;
+  private FairQueue<T> queueOf(QueuedStatement<T> statement) {
+    return statement.write() ? writes : reads;
   }
 
   /** Returns the expected queueing time of a new statement, based on the mean service time. */
-  private long expectedWaitNanos(Entrant<T> entrant, FairQueue<T> queue) {
-    int ahead = queue.maxServedBefore(entrant.flow()) + (entrant.write() ? 0 : writes.size());
+  private long expectedWaitNanos(QueuedStatement<T> statement, FairQueue<T> queue) {
+    int ahead = queue.maxServedBefore(statement.flow()) + (statement.write() ? 0 : writes.size());
     int excess = Math.max(0, inFlight() - limit.current() + 1);
     return (long) ((ahead + excess) * meanServiceNanos / limit.current());
   }
@@ -166,34 +167,35 @@
    * Refuses the newest statement of the longest flow if the flow of the new statement is shorter.
    * Returns whether a statement was refused.
    */
-  private boolean displaceQueued(Entrant<T> entrant, FairQueue<T> queue, GateChange<T> change) {
-    Optional<Entrant<T>> displaced = queue.displaceFor(entrant.flow());
-    displaced.ifPresent(e -> change.refuse(e, RefusalReason.DISPLACED, retryAfterMillis()));
+  private boolean displaceQueued(
+      QueuedStatement<T> statement, FairQueue<T> queue, AdmissionResult<T> result) {
+    Optional<QueuedStatement<T>> displaced = queue.displaceFor(statement.flow());
+    displaced.ifPresent(e -> result.refuse(e, RefusalReason.DISPLACED, retryAfterMillis()));
     return displaced.isPresent();
   }
 
-  private void startQueued(long nowNanos, GateChange<T> change) {
+  private void startQueued(long nowNanos, AdmissionResult<T> result) {
     while (inFlight() < limit.current()) {
-      Optional<Entrant<T>> next = pollNext();
+      Optional<QueuedStatement<T>> next = pollNext();
       if (next.isEmpty()) {
         return;
       }
-      Entrant<T> entrant = next.get();
-      if (wouldMissDeadline(entrant, nowNanos)) {
-        change.refuse(entrant, RefusalReason.DEADLINE_NEAR, retryAfterMillis());
+      QueuedStatement<T> statement = next.get();
+      if (wouldMissDeadline(statement, nowNanos)) {
+        result.refuse(statement, RefusalReason.DEADLINE_NEAR, retryAfterMillis());
         continue;
       }
-      if (entrant.write()) {
+      if (statement.write()) {
         writesInFlight++;
       } else {
         readsInFlight++;
       }
-      change.start(entrant);
+      result.start(statement);
     }
   }
 
-  private Optional<Entrant<T>> pollNext() {
-    Optional<Entrant<T>> write = writes.poll();
+  private Optional<QueuedStatement<T>> pollNext() {
+    Optional<QueuedStatement<T>> write = writes.poll();
     if (write.isPresent()) {
       return write;
     }
@@ -204,8 +206,8 @@
     return primary ? Math.max(1, limit.current() - 1) : limit.current();
   }
 
-  private boolean wouldMissDeadline(Entrant<T> entrant, long nowNanos) {
-    return nowNanos + slowServiceNanos() > entrant.deadlineNanos();
+  private boolean wouldMissDeadline(QueuedStatement<T> statement, long nowNanos) {
+    return nowNanos + slowServiceNanos() > statement.deadlineNanos();
   }
 
   private long retryAfterMillis() {
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/Gates.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/ServerLimiters.java
@@ -20,19 +20,19 @@
  * <p>Thread-safe. The lock is this object, and no other lock is acquired while it is held. Futures
  * are completed by the executor after the lock is released.
  */
-public final class Gates {
+public final class ServerLimiters {
   private final MonotonicClock clock;
   private final ConcurrencyLimit.Factory limits;
   private final int queueCapacity;
   private final Executor executor;
   private final RefusalListener listener;
   // Guarded by this.
-  private final Map<ServerId, ServerGate<CompletableFuture<Permit>>> limiters = new HashMap<>();
+  private final Map<ServerId, ServerLimiter<CompletableFuture<Permit>>> limiters = new HashMap<>();
   // Guarded by this.
   private final Map<ServerId, Integer> peakQueued = new HashMap<>();
 
   /** Creates an empty table. The limiter of each server gets a queue of the given capacity. */
-  public Gates(
+  public ServerLimiters(
       MonotonicClock clock,
       ConcurrencyLimit.Factory limits,
       int queueCapacity,
@@ -56,25 +56,27 @@
    *     DEADLINE_EXCEEDED} if its deadline came near while it was queued, and {@code OVERLOADED}
    *     otherwise
    */
-  public CompletableFuture<Permit> enter(
+  public CompletableFuture<Permit> acquire(
       ServerId server, int slots, boolean primary, Flow flow, boolean write, long deadlineNanos) {
     CompletableFuture<Permit> result = new CompletableFuture<>();
-    GateChange<CompletableFuture<Permit>> change;
+    AdmissionResult<CompletableFuture<Permit>> admission;
     synchronized (this) {
-      ServerGate<CompletableFuture<Permit>> limiter = limiter(server, slots);
-      limiter.primary(primary);
-      change = limiter.enter(new Entrant<>(flow, write, deadlineNanos, result), clock.nowNanos());
+      ServerLimiter<CompletableFuture<Permit>> limiter = limiter(server, slots);
+      limiter.setPrimary(primary);
+      admission =
+          limiter.submit(
+              new QueuedStatement<>(flow, write, deadlineNanos, result), clock.nowNanos());
       peakQueued.merge(server, limiter.queued(), Math::max);
     }
-    apply(server, change);
+    apply(server, admission);
     return result;
   }
 
   /** Returns how many further reads the server accepts, with the server treated as the primary. */
-  public synchronized int readRoom(ServerId server, int slots) {
-    ServerGate<CompletableFuture<Permit>> limiter = limiter(server, slots);
-    limiter.primary(true);
-    return limiter.readRoom();
+  public synchronized int readCapacity(ServerId server, int slots) {
+    ServerLimiter<CompletableFuture<Permit>> limiter = limiter(server, slots);
+    limiter.setPrimary(true);
+    return limiter.readCapacity();
   }
 
   /**
@@ -82,19 +84,19 @@
    * milliseconds.
    */
   public void sweep() {
-    Map<ServerId, GateChange<CompletableFuture<Permit>>> changes = new HashMap<>();
+    Map<ServerId, AdmissionResult<CompletableFuture<Permit>>> results = new HashMap<>();
     synchronized (this) {
       long now = clock.nowNanos();
-      limiters.forEach((server, limiter) -> changes.put(server, limiter.sweep(now)));
+      limiters.forEach((server, limiter) -> results.put(server, limiter.sweep(now)));
     }
-    changes.forEach(this::apply);
+    results.forEach(this::apply);
   }
 
   /** Cancels a queued statement. Has no effect if the statement was started. */
   public void cancel(ServerId server, CompletableFuture<Permit> queuedPermit) {
     boolean cancelled;
     synchronized (this) {
-      ServerGate<CompletableFuture<Permit>> limiter = limiters.get(server);
+      ServerLimiter<CompletableFuture<Permit>> limiter = limiters.get(server);
       cancelled = limiter != null && limiter.cancel(queuedPermit);
     }
     if (cancelled) {
@@ -104,7 +106,7 @@
 
   /** Returns the maximum number of statements that were queued for a server since the last call. */
   public synchronized int takePeakQueued(ServerId server) {
-    ServerGate<CompletableFuture<Permit>> limiter = limiters.get(server);
+    ServerLimiter<CompletableFuture<Permit>> limiter = limiters.get(server);
     if (limiter == null) {
       return 0;
     }
@@ -115,46 +117,48 @@
 
   /** Returns the number of queued statements of all servers. */
   public synchronized int queued() {
-    return limiters.values().stream().mapToInt(ServerGate::queued).sum();
+    return limiters.values().stream().mapToInt(ServerLimiter::queued).sum();
   }
 
   /** Returns the number of statements in flight on all servers. */
   public synchronized int inFlight() {
-    return limiters.values().stream().mapToInt(ServerGate::inFlight).sum();
+    return limiters.values().stream().mapToInt(ServerLimiter::inFlight).sum();
   }
 
-  private ServerGate<CompletableFuture<Permit>> limiter(ServerId server, int slots) {
+  private ServerLimiter<CompletableFuture<Permit>> limiter(ServerId server, int slots) {
     return limiters.computeIfAbsent(
-        server, id -> new ServerGate<>(limits.create(id, slots), queueCapacity));
+        server, id -> new ServerLimiter<>(limits.create(id, slots), queueCapacity));
   }
 
-  private void leave(ServerId server, boolean write, long latencyNanos, boolean answered) {
-    change(
-        server, () -> limiters.get(server).leave(write, latencyNanos, answered, clock.nowNanos()));
+  private void complete(ServerId server, boolean write, long latencyNanos, boolean answered) {
+    update(
+        server,
+        () -> limiters.get(server).complete(write, latencyNanos, answered, clock.nowNanos()));
   }
 
-  private void change(ServerId server, Supplier<GateChange<CompletableFuture<Permit>>> event) {
-    GateChange<CompletableFuture<Permit>> change;
+  private void update(ServerId server, Supplier<AdmissionResult<CompletableFuture<Permit>>> event) {
+    AdmissionResult<CompletableFuture<Permit>> admission;
     synchronized (this) {
-      change = event.get();
+      admission = event.get();
     }
-    apply(server, change);
+    apply(server, admission);
   }
 
-  private void apply(ServerId server, GateChange<CompletableFuture<Permit>> change) {
-    List<Entrant<CompletableFuture<Permit>>> started = new ArrayList<>(change.started());
-    for (Entrant<CompletableFuture<Permit>> entrant : started) {
-      Permit permit = new Permit(server, entrant.write(), clock.nowNanos());
+  private void apply(ServerId server, AdmissionResult<CompletableFuture<Permit>> admission) {
+    List<QueuedStatement<CompletableFuture<Permit>>> started = new ArrayList<>(admission.started());
+    for (QueuedStatement<CompletableFuture<Permit>> statement : started) {
+      Permit permit = new Permit(server, statement.write(), clock.nowNanos());
       executor.execute(
           () -> {
-            if (!entrant.work().complete(permit)) {
-              permit.notSent();
+            if (!statement.work().complete(permit)) {
+              permit.endUnsent();
             }
           });
     }
-    for (GateChange.Refused<CompletableFuture<Permit>> refused : change.refused()) {
-      listener.refused(server, refused.entrant().flow(), refused.reason());
-      executor.execute(() -> refused.entrant().work().completeExceptionally(refusalError(refused)));
+    for (AdmissionResult.Refused<CompletableFuture<Permit>> refused : admission.refused()) {
+      listener.refused(server, refused.statement().flow(), refused.reason());
+      executor.execute(
+          () -> refused.statement().work().completeExceptionally(refusalError(refused)));
     }
   }
 
@@ -162,7 +166,7 @@
    * Returns the error of a refusal. The outcome is NOT_RUN because nothing is sent without a
    * permit.
    */
-  private static AlderyardException refusalError(GateChange.Refused<?> refused) {
+  private static AlderyardException refusalError(AdmissionResult.Refused<?> refused) {
     boolean deadlineNear = refused.reason() == RefusalReason.DEADLINE_NEAR;
     return AlderyardException.notRun(
         deadlineNear ? ErrorCode.DEADLINE_EXCEEDED : ErrorCode.OVERLOADED,
@@ -196,14 +200,14 @@
     /** Ends the statement. The latency, and whether the server answered, adjust the limit. */
     public void end(boolean answered) {
       if (ended.compareAndSet(false, true)) {
-        leave(server, write, Math.max(1, clock.nowNanos() - startedNanos), answered);
+        complete(server, write, Math.max(1, clock.nowNanos() - startedNanos), answered);
       }
     }
 
     /** Ends a statement that was not sent. The limit is not adjusted. */
-    public void notSent() {
+    public void endUnsent() {
       if (ended.compareAndSet(false, true)) {
-        leave(server, write, 0, true);
+        complete(server, write, 0, true);
       }
     }
   }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/monitor/GroupMonitor.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/monitor/GroupMonitor.java
@@ -68,7 +68,7 @@
   }
 
   /** Records a use of a group, so that its servers are polled at the short interval for a time. */
-  public void used(GroupId group) {
+  public void recordUse(GroupId group) {
     lastUsedNanos.put(group, clock.nowNanos());
   }
 
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/pool/ConnectionPools.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/pool/ConnectionPools.java
@@ -57,22 +57,22 @@
   }
 
   /**
-   * Takes a connection for exclusive use until it is released, with the highest priority.
+   * Acquires a connection for exclusive use until it is released, with the highest priority.
    *
    * @return fails with {@code NOT_RUN} if no connection is available within the timeout
    */
-  public CompletableFuture<C> take(ServerState server, Duration timeout) {
-    return take(server, 0, timeout);
+  public CompletableFuture<C> acquire(ServerState server, Duration timeout) {
+    return acquire(server, 0, timeout);
   }
 
   /**
-   * Takes a connection for exclusive use until it is released.
+   * Acquires a connection for exclusive use until it is released.
    *
    * @param priority queued requests are served in ascending order of priority, 0 first, and in
    *     order of arrival within a priority
    * @return fails with {@code NOT_RUN} if no connection is available within the timeout
    */
-  public CompletableFuture<C> take(ServerState server, int priority, Duration timeout) {
+  public CompletableFuture<C> acquire(ServerState server, int priority, Duration timeout) {
     CompletableFuture<C> request = new CompletableFuture<>();
     ServerPool<C> pool;
     synchronized (this) {
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/pool/PacedConnector.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/pool/PacedConnector.java
@@ -39,7 +39,7 @@
    * least 1. With a fixed rate per proxy, meant for a dozen, a single proxy would need minutes to
    * open the connections of its lease.
    */
-  public static int share(long proxies) {
+  public static int ratePerProxy(long proxies) {
     return (int) Math.max(1, DEFAULT_TOTAL_PER_SECOND / Math.max(1, proxies));
   }
 
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadMetrics.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadMetrics.java
@@ -7,8 +7,8 @@
 import io.prometheus.metrics.model.snapshots.Unit;
 import java.util.Locale;
 import org.alderyard.proxy.freshness.FreshnessMode;
-import org.alderyard.proxy.limit.Gates;
 import org.alderyard.proxy.limit.RefusalReason;
+import org.alderyard.proxy.limit.ServerLimiters;
 import org.alderyard.proxy.routing.RoutingReason;
 
 /**
@@ -60,7 +60,7 @@
   }
 
   /** Registers the gauges of the limiters. */
-  public void registerGauges(Gates limiters) {
+  public void registerGauges(ServerLimiters limiters) {
     gauge("alderyard_statements_queued", "Statements that wait for a server.", limiters::queued);
     gauge("alderyard_statements_in_flight", "Statements that run at servers.", limiters::inFlight);
   }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadPath.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadPath.java
@@ -25,8 +25,8 @@
 import org.alderyard.proxy.freshness.PositionWaits;
 import org.alderyard.proxy.freshness.ReadDemand;
 import org.alderyard.proxy.limit.Flow;
-import org.alderyard.proxy.limit.Gates;
 import org.alderyard.proxy.limit.RetryBudget;
+import org.alderyard.proxy.limit.ServerLimiters;
 import org.alderyard.proxy.routing.Candidate;
 import org.alderyard.proxy.routing.ReadRequest;
 import org.alderyard.proxy.routing.ReadRouter;
@@ -51,13 +51,13 @@
   private final FreshnessTable freshness;
   private final PositionWaits positionWaits;
   private final ServerLoads loads;
-  private final Gates limiters;
+  private final ServerLimiters limiters;
   private final ServerRunner runner;
   private final ReadRouter router;
   private final ReadMetrics metrics;
   private final RoutingLog routingLog;
   private final RetryBudget resends =
-      new RetryBudget(RetryBudget.DEFAULT_SHARE, RetryBudget.DEFAULT_SAVED);
+      new RetryBudget(RetryBudget.DEFAULT_SHARE, RetryBudget.DEFAULT_MAX_RESENDS);
 
   /** Creates a path that logs one of {@code routingLogSample} routing decisions. */
   public ReadPath(
@@ -65,7 +65,7 @@
       FreshnessTable freshness,
       PositionWaits positionWaits,
       ServerLoads loads,
-      Gates limiters,
+      ServerLimiters limiters,
       ServerRunner runner,
       ReadRouter router,
       ReadMetrics metrics,
@@ -101,7 +101,7 @@
       ReadDemand demand,
       BackendStatement statement,
       Duration timeout) {
-    resends.firstTry();
+    resends.recordFirstAttempt();
     long deadlineNanos = clock.nowNanos() + timeout.toNanos();
     ReadState read = new ReadState(view, group, flow, demand, statement, deadlineNanos);
     return attempt(read, demand);
@@ -117,7 +117,7 @@
                 read.group,
                 candidates(read, groupFreshness),
                 demand,
-                groupFreshness.reachedBy(demand.requirement().position()),
+                groupFreshness.writtenBy(demand.requirement().position()),
                 primaryReadCapacity(read.group),
                 now,
                 Math.max(0, read.deadlineNanos - now)));
@@ -143,7 +143,7 @@
   }
 
   private int primaryReadCapacity(GroupState group) {
-    return group.primary().map(id -> limiters.readRoom(id, group.slotsPerServer())).orElse(0);
+    return group.primary().map(id -> limiters.readCapacity(id, group.slotsPerServer())).orElse(0);
   }
 
   private CompletableFuture<ReadAnswer> waitThenSend(
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadStack.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadStack.java
@@ -16,8 +16,8 @@
 import org.alderyard.proxy.freshness.FreshnessTable;
 import org.alderyard.proxy.freshness.Measurement;
 import org.alderyard.proxy.freshness.PositionWaits;
-import org.alderyard.proxy.limit.Gates;
-import org.alderyard.proxy.limit.LeasedSlots;
+import org.alderyard.proxy.limit.LeaseShareLimit;
+import org.alderyard.proxy.limit.ServerLimiters;
 import org.alderyard.proxy.monitor.GroupMonitor;
 import org.alderyard.proxy.monitor.ServerObservation;
 import org.alderyard.proxy.pool.ConnectionAllowance;
@@ -34,7 +34,7 @@
   private final FreshnessTable freshness = new FreshnessTable();
   private final PositionWaits positionWaits;
   private final ServerLoads loads;
-  private final Gates limiters;
+  private final ServerLimiters limiters;
   private final ServerRunner runner;
   private final ReadPath path;
 
@@ -58,10 +58,10 @@
     positionWaits = new PositionWaits(workers);
     loads = new ServerLoads(clock);
     limiters =
-        new Gates(
+        new ServerLimiters(
             clock,
             (server, slots) ->
-                new LeasedSlots(
+                new LeaseShareLimit(
                     slots,
                     () -> allowance.allowed(server),
                     () -> connectionsPerServer(views, server)),
@@ -95,7 +95,7 @@
   }
 
   /** Returns the limiters of the servers, which reads and writes share. */
-  public Gates gates() {
+  public ServerLimiters limiters() {
     return limiters;
   }
 
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ServerRunner.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ServerRunner.java
@@ -15,17 +15,19 @@
 import org.alderyard.common.view.GroupState;
 import org.alderyard.common.view.ServerState;
 import org.alderyard.proxy.limit.Flow;
-import org.alderyard.proxy.limit.Gates;
+import org.alderyard.proxy.limit.ServerLimiters;
 import org.alderyard.proxy.pool.ServerPools;
 import org.alderyard.proxy.routing.ServerLoads;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Runs statements on a server: passes its limiter, takes a connection and records the result. */
+/**
+ * Runs statements on a server: passes its limiter, acquires a connection and records the result.
+ */
 public final class ServerRunner {
   private static final Logger log = LoggerFactory.getLogger(ServerRunner.class);
 
-  private final Gates limiters;
+  private final ServerLimiters limiters;
   private final ServerLoads loads;
   private final ServerPools pools;
   private final MonotonicClock clock;
@@ -33,7 +35,7 @@
 
   /** Creates a runner for the given limiters and connection pools. */
   public ServerRunner(
-      Gates limiters,
+      ServerLimiters limiters,
       ServerLoads loads,
       ServerPools pools,
       MonotonicClock clock,
@@ -61,7 +63,7 @@
     boolean write = statement.kind() == StatementKind.WRITE;
     loads.begin(server);
     return limiters
-        .enter(server.id(), group.slotsPerServer(), primary, flow, write, deadlineNanos)
+        .acquire(server.id(), group.slotsPerServer(), primary, flow, write, deadlineNanos)
         .whenComplete(
             (permit, refusal) -> {
               if (refusal != null) {
@@ -72,14 +74,17 @@
   }
 
   private CompletableFuture<BackendAnswer> send(
-      ServerState server, BackendStatement statement, long deadlineNanos, Gates.Permit permit) {
+      ServerState server,
+      BackendStatement statement,
+      long deadlineNanos,
+      ServerLimiters.Permit permit) {
     long startedNanos = clock.nowNanos();
     CompletableFuture<BackendAnswer> result;
     try {
       Duration connectTimeout = Duration.ofNanos(Math.max(1, deadlineNanos - startedNanos));
       result =
           pools
-              .take(server, connectTimeout)
+              .acquire(server, connectTimeout)
               .thenCompose(
                   connection -> runOnConnection(server, connection, statement, deadlineNanos));
     } catch (RuntimeException failure) {
@@ -108,12 +113,12 @@
   }
 
   private void recordResult(
-      ServerState server, Gates.Permit permit, long latencyNanos, Throwable failure) {
+      ServerState server, ServerLimiters.Permit permit, long latencyNanos, Throwable failure) {
     boolean rejectedByServer =
         failure != null && Futures.unwrap(failure) instanceof BackendException;
     boolean overloaded = failure != null && Futures.typed(failure).code() == ErrorCode.OVERLOADED;
     if (failure != null && !rejectedByServer && noConnectionAvailable(failure)) {
-      permit.notSent();
+      permit.endUnsent();
       loads.cancel(server);
       return;
     }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/session/Requirement.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/session/ReadRequirement.java
@@ -11,21 +11,21 @@
  * @param primaryOnly whether the position was dropped from the session, so that only the primary is
  *     certain to hold it
  */
-public record Requirement(Position position, boolean primaryOnly) {
+public record ReadRequirement(Position position, boolean primaryOnly) {
   /** The requirement of a session that has not accessed the group. */
-  public static final Requirement NONE = new Requirement(Position.NONE, false);
+  public static final ReadRequirement NONE = new ReadRequirement(Position.NONE, false);
 
   /** The requirement of a session whose position in the group was dropped. */
-  public static final Requirement PRIMARY = new Requirement(Position.NONE, true);
+  public static final ReadRequirement PRIMARY = new ReadRequirement(Position.NONE, true);
 
   /** Rejects a null position. */
-  public Requirement {
+  public ReadRequirement {
     Objects.requireNonNull(position);
   }
 
   /** Returns the requirement that a server has applied a position. */
-  public static Requirement atLeast(Position position) {
-    return new Requirement(position, false);
+  public static ReadRequirement atLeast(Position position) {
+    return new ReadRequirement(position, false);
   }
 
   /** Returns the required position; empty if there is none. */
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/session/SessionState.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/session/SessionState.java
@@ -79,12 +79,12 @@
   }
 
   /** Returns the requirement on a server that answers a read of the group. */
-  public Requirement requirement(GroupId group) {
+  public ReadRequirement requirement(GroupId group) {
     Position position = positions.get(group);
     if (position != null) {
-      return Requirement.atLeast(position);
+      return ReadRequirement.atLeast(position);
     }
-    return folded ? Requirement.PRIMARY : Requirement.NONE;
+    return folded ? ReadRequirement.PRIMARY : ReadRequirement.NONE;
   }
 
   /**
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/session/SessionTokens.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/session/SessionTokens.java
@@ -35,8 +35,8 @@
  *
  * <pre>{@code
  * SessionTokens tokens = new SessionTokens(InstantSource.system(), Duration.ofHours(24));
- * SessionState session = tokens.read(headerValue, pool, view);
- * String next = tokens.write(session.observe(group, position), view);
+ * SessionState session = tokens.decode(headerValue, pool, view);
+ * String next = tokens.encode(session.observe(group, position), view);
  * }</pre>
  */
 public final class SessionTokens {
@@ -73,7 +73,7 @@
    * @throws AlderyardException with {@code NO_ELIGIBLE_SERVER} if the view does not contain a key
    *     yet
    */
-  public String write(SessionState session, View view) {
+  public String encode(SessionState session, View view) {
     SigningKey key = signingKey(view);
     SessionToken.Builder token =
         SessionToken.newBuilder()
@@ -100,7 +100,7 @@
   }
 
   /**
-   * Reads and merges the tokens of one request, which are separated by commas.
+   * Decodes and merges the tokens of one request, which are separated by commas.
    *
    * @param text the value of the header; empty or null for a new session
    * @param pool the pool that the request addresses
@@ -109,7 +109,7 @@
    *     TOKEN_EXPIRED}, {@code TOKEN_WRONG_POOL} or {@code SESSION_TAIL_LOST}; an invalid token is
    *     never ignored, since the caller would then read older data than it has observed
    */
-  public SessionState read(String text, PoolName pool, View view) {
+  public SessionState decode(String text, PoolName pool, View view) {
     if (text == null || text.isBlank()) {
       return SessionState.empty(pool);
     }
@@ -121,7 +121,7 @@
     }
     SessionState merged = SessionState.empty(pool);
     for (String tokenText : tokenTexts) {
-      SessionState session = readToken(tokenText.strip(), pool, view.keys());
+      SessionState session = decodeToken(tokenText.strip(), pool, view.keys());
       // Checked before the merge, since a later term of another token would hide a lost position.
       session.checkNotLost(view);
       merged = merged.merge(session);
@@ -129,7 +129,7 @@
     return merged;
   }
 
-  private SessionState readToken(String text, PoolName pool, List<SigningKey> keys) {
+  private SessionState decodeToken(String text, PoolName pool, List<SigningKey> keys) {
     SignedToken signed = parseSigned(text);
     SigningKey key = verifyingKey(signed.getKeyId(), keys);
     byte[] expected = hmac(key, signed.getContent());
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/statement/StatementService.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/statement/StatementService.java
@@ -15,16 +15,16 @@
 import org.alderyard.common.view.View;
 import org.alderyard.proxy.freshness.FreshnessMode;
 import org.alderyard.proxy.freshness.ReadDemand;
-import org.alderyard.proxy.ledger.LedgeredWrites;
+import org.alderyard.proxy.ledger.WriteExecutor;
 import org.alderyard.proxy.limit.Flow;
 import org.alderyard.proxy.limit.PoolLimits;
 import org.alderyard.proxy.monitor.GroupMonitor;
 import org.alderyard.proxy.read.ReadAnswer;
 import org.alderyard.proxy.read.ReadPath;
-import org.alderyard.proxy.session.Requirement;
+import org.alderyard.proxy.session.ReadRequirement;
 import org.alderyard.proxy.session.SessionState;
 import org.alderyard.proxy.session.SessionTokens;
-import org.alderyard.proxy.view.KnownPools;
+import org.alderyard.proxy.view.PoolLookup;
 import org.alderyard.proxy.view.ViewHolder;
 import org.alderyard.proxy.write.WriteRequest;
 
@@ -33,21 +33,21 @@
   private static final long POOL_LIMIT_RETRY_AFTER_MILLIS = 50;
 
   private final ViewHolder views;
-  private final KnownPools pools;
+  private final PoolLookup pools;
   private final SessionTokens tokens;
   private final PoolLimits poolLimits;
   private final ReadPath reads;
-  private final LedgeredWrites writes;
+  private final WriteExecutor writes;
   private final GroupMonitor monitor;
 
   /** Creates the service. */
   public StatementService(
       ViewHolder views,
-      KnownPools pools,
+      PoolLookup pools,
       SessionTokens tokens,
       PoolLimits poolLimits,
       ReadPath reads,
-      LedgeredWrites writes,
+      WriteExecutor writes,
       GroupMonitor monitor) {
     this.views = views;
     this.pools = pools;
@@ -68,8 +68,8 @@
                 () ->
                     AlderyardException.notRun(
                         ErrorCode.NO_ELIGIBLE_SERVER, "the database group of the key is unknown"));
-    monitor.used(group.id());
-    SessionState session = tokens.read(request.sessionToken().orElse(""), request.pool(), view);
+    monitor.recordUse(group.id());
+    SessionState session = tokens.decode(request.sessionToken().orElse(""), request.pool(), view);
     return runWithinPoolLimit(request, view, pool, group, session);
   }
 
@@ -111,7 +111,7 @@
   }
 
   private static ReadDemand demand(
-      StatementRequest request, PoolState pool, Requirement requirement) {
+      StatementRequest request, PoolState pool, ReadRequirement requirement) {
     return switch (request.freshness().mode()) {
       case SESSION -> ReadDemand.session(requirement);
       case BOUNDED -> {
@@ -171,7 +171,7 @@
         read.ageMillis(),
         updatesSession
             ? tokenAfter(session, group, position)
-            : tokens.write(session, views.current()));
+            : tokens.encode(session, views.current()));
   }
 
   /**
@@ -181,6 +181,6 @@
   private String tokenAfter(SessionState session, GroupState group, Position seen) {
     View currentView = views.current();
     GroupState newest = currentView.group(group.id()).orElse(group);
-    return tokens.write(session.observe(newest, seen), currentView);
+    return tokens.encode(session.observe(newest, seen), currentView);
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/transaction/TransactionService.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/transaction/TransactionService.java
@@ -69,7 +69,7 @@
   }
 
   /** Returns whether this process holds or held a transaction. */
-  public boolean holds(TransactionId id) {
+  public boolean isHolderOf(TransactionId id) {
     return id.holder().equals(self) && id.incarnation() == incarnation;
   }
 
@@ -82,7 +82,7 @@
         .thenCompose(
             target ->
                 pools
-                    .take(target.primary(), timeout)
+                    .acquire(target.primary(), timeout)
                     .thenCompose(
                         connection ->
                             beginOnConnection(connection, target, caller, pool, group, timeout)))
@@ -307,7 +307,7 @@
   }
 
   /** Returns a future that completes when the transaction has ended; a shutdown waits for it. */
-  public CompletableFuture<Void> ended(TransactionId id) {
+  public CompletableFuture<Void> whenEnded(TransactionId id) {
     return table
         .find(id)
         .map(OpenTransaction::ended)
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/view/KnownPools.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/view/PoolLookup.java
@@ -9,7 +9,7 @@
 import org.alderyard.common.view.View;
 
 /** Looks up the pools that callers name in their requests. */
-public final class KnownPools {
+public final class PoolLookup {
   private final BooleanSupplier viewConfirmed;
 
   /**
@@ -17,7 +17,7 @@
    *
    * @param viewConfirmed returns whether the control hosts have confirmed this host's view recently
    */
-  public KnownPools(BooleanSupplier viewConfirmed) {
+  public PoolLookup(BooleanSupplier viewConfirmed) {
     this.viewConfirmed = Objects.requireNonNull(viewConfirmed);
   }
 
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/view/ViewClient.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/view/ViewClient.java
@@ -164,7 +164,7 @@
               : follower.accept(reply.getDeltas());
       follower = result.follower();
     }
-    if (holder.offer(result.follower().view())) {
+    if (holder.updateIfNewer(result.follower().view())) {
       notifyIfLeaseLapsed();
       lease.recordRunning(holder.current().version());
       log.info("event=view-changed version={}", holder.current().version());
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/view/ViewHolder.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/view/ViewHolder.java
@@ -29,7 +29,7 @@
    *
    * @return whether the current view was replaced
    */
-  public boolean offer(View next) {
+  public boolean updateIfNewer(View next) {
     while (true) {
       View previous = current.get();
       if (next.version().compareTo(previous.version()) <= 0) {
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/write/GatedWrites.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/write/LimiterWriteAdmission.java
@@ -5,21 +5,21 @@
 import org.alderyard.common.view.GroupState;
 import org.alderyard.common.view.ServerState;
 import org.alderyard.proxy.limit.Flow;
-import org.alderyard.proxy.limit.Gates;
+import org.alderyard.proxy.limit.ServerLimiters;
 import org.alderyard.proxy.view.ViewHolder;
 
 /**
  * Admits writes through the per-server limiters of the reads, so that both share a server's slots.
  */
-public final class GatedWrites implements WriteAdmission {
+public final class LimiterWriteAdmission implements WriteAdmission {
   private static final String UNKNOWN_CALLER = "";
   private static final int FALLBACK_SLOTS = 1;
 
-  private final Gates limiters;
+  private final ServerLimiters limiters;
   private final ViewHolder views;
 
   /** Creates an admission that uses the limiters of the reads. */
-  public GatedWrites(Gates limiters, ViewHolder views) {
+  public LimiterWriteAdmission(ServerLimiters limiters, ViewHolder views) {
     this.limiters = Objects.requireNonNull(limiters);
     this.views = Objects.requireNonNull(views);
   }
@@ -36,11 +36,11 @@
     String caller = request.ledgerKey().map(key -> key.caller().value()).orElse(UNKNOWN_CALLER);
     Flow flow = new Flow(request.pool().name(), caller);
     return limiters
-        .enter(primary.id(), slots, true, flow, true, deadlineNanos)
+        .acquire(primary.id(), slots, true, flow, true, deadlineNanos)
         .thenApply(LimiterPermit::new);
   }
 
-  private record LimiterPermit(Gates.Permit permit) implements Permit {
+  private record LimiterPermit(ServerLimiters.Permit permit) implements Permit {
     @Override
     public void release(boolean answered) {
       permit.end(answered);
@@ -48,7 +48,7 @@
 
     @Override
     public void releaseUnsent() {
-      permit.notSent();
+      permit.endUnsent();
     }
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/write/WritePath.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/write/WritePath.java
@@ -66,7 +66,7 @@
    * Adds a listener that is called when a connection to a primary is refused or breaks during a
    * write.
    */
-  public void onPrimaryLost(BiConsumer<GroupId, ServerId> listener) {
+  public void onPrimaryConnectionLost(BiConsumer<GroupId, ServerId> listener) {
     connectionLossListeners.add(listener);
   }
 
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/write/WriteRun.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/write/WriteRun.java
@@ -34,7 +34,7 @@
   }
 
   CompletableFuture<WriteAnswer> start() {
-    context.permits().firstTry();
+    context.permits().recordFirstAttempt();
     startAttempt(0);
     return result;
   }
@@ -115,7 +115,7 @@
       run =
           context
               .pools()
-              .take(target.primary(), deadline.remaining(context.clock()))
+              .acquire(target.primary(), deadline.remaining(context.clock()))
               .thenCompose(connection -> runOnConnection(connection, target, attempt));
     } catch (RuntimeException failure) {
       run = CompletableFuture.failedFuture(failure);
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/FleetFixture.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/FleetFixture.java
@@ -63,8 +63,10 @@
       SessionFixture host = new SessionFixture(state.zone().value(), group);
       hosts.put(state.id(), host);
       host.join(states, CONNECTIONS_PER_SERVER);
-      host.service.joinHosts(
-          new Holders(state.id(), state.zone(), holder -> true), new FakeHolderClient(), state);
+      host.service.connectToHosts(
+          new HolderSelector(state.id(), state.zone(), holder -> true),
+          new FakeHolderClient(),
+          state);
     }
   }
 
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/HolderForwarderTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/HolderForwarderTest.java
@@ -93,7 +93,7 @@
             .map(ModelServer.Ran::connection)
             .collect(Collectors.toSet());
     assertThat(connections).hasSize(1);
-    assertThat(heldTransactions()).isEqualTo(0);
+    assertThat(heldTransactionCount()).isEqualTo(0);
   }
 
   @Test
@@ -113,7 +113,7 @@
     caller.write("a", "1");
     caller.rollback();
 
-    assertThat(heldTransactions()).isEqualTo(0);
+    assertThat(heldTransactionCount()).isEqualTo(0);
     assertThat(caller.read("a").rows()).containsExactly("");
   }
 
@@ -125,7 +125,7 @@
     caller.write("a", "1");
     host.service.close(caller.session);
 
-    assertThat(heldTransactions()).isEqualTo(0);
+    assertThat(heldTransactionCount()).isEqualTo(0);
   }
 
   @Test
@@ -214,7 +214,7 @@
     SessionFixture.Caller caller = fleet.nonHolder().caller(SessionFixture.NEWEST);
     caller.begin();
     caller.write("a", "1");
-    fleet.host(holderOf("z0")).service.stopHolding();
+    fleet.host(holderOf("z0")).service.stopAcceptingForwarded();
 
     assertThat(caller.commit().succeeded()).isTrue();
     assertThat(fleet.nonHolder().caller(SessionFixture.NEWEST).write("b", "1").succeeded())
@@ -226,12 +226,12 @@
     SessionFixture.Caller caller = fleet.nonHolder().caller(SessionFixture.NEWEST);
     caller.begin();
     caller.write("a", "1");
-    assertThat(heldTransactions()).isEqualTo(1);
+    assertThat(heldTransactionCount()).isEqualTo(1);
 
     long later = System.nanoTime() + 2_000_000L * (SessionFixture.IDLE_MILLIS + 100);
     fleet.hosts.values().forEach(host -> host.service.heldStatements().endAbandoned(later));
 
-    assertThat(heldTransactions()).isEqualTo(0);
+    assertThat(heldTransactionCount()).isEqualTo(0);
   }
 
   @Test
@@ -248,7 +248,9 @@
         .orElseThrow();
   }
 
-  private int heldTransactions() {
-    return fleet.hosts.values().stream().mapToInt(host -> host.service.heldTransactions()).sum();
+  private int heldTransactionCount() {
+    return fleet.hosts.values().stream()
+        .mapToInt(host -> host.service.heldTransactionCount())
+        .sum();
   }
 }
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/HolderTrackTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/HolderTrackerTest.java
@@ -4,8 +4,8 @@
 
 import org.junit.jupiter.api.Test;
 
-class HolderTrackTest {
-  private final HolderTrack tracker = new HolderTrack(1);
+class HolderTrackerTest {
+  private final HolderTracker tracker = new HolderTracker(1);
 
   private int startUntilLimit() {
     int started = 0;
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/OutlookTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/ServerSearchPolicyTest.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-class OutlookTest {
+class ServerSearchPolicyTest {
   private static final long TIMEOUT = TimeUnit.MILLISECONDS.toNanos(800);
 
   private static final long OBJECTIVE = TimeUnit.MILLISECONDS.toNanos(200);
@@ -20,7 +20,7 @@
     // A network partition separated five hosts from the new primary and the control hosts. These
     // hosts held writes for half of their timeout before they refused them, although hosts on the
     // other side could run the writes immediately.
-    Outlook policy = new Outlook(true, false, unresponsiveMillis(450));
+    ServerSearchPolicy policy = new ServerSearchPolicy(true, false, unresponsiveMillis(450));
     assertThat(policy.isSearchOver(0, TIMEOUT, OBJECTIVE)).isTrue();
     assertThat(policy.message())
         .contains("another host may run the statement; retry after 1000 ms");
@@ -28,25 +28,25 @@
 
   @Test
   void searchContinuesWhileFailoverMayComplete() {
-    Outlook policy = new Outlook(true, true, unresponsiveMillis(2_000));
+    ServerSearchPolicy policy = new ServerSearchPolicy(true, true, unresponsiveMillis(2_000));
     assertThat(policy.isSearchOver(TIMEOUT / 4, TIMEOUT, OBJECTIVE)).isFalse();
     assertThat(policy.isSearchOver(TIMEOUT / 2, TIMEOUT, OBJECTIVE)).isTrue();
     assertThat(policy.retryAfterMillis()).isEqualTo(400);
-    assertThat(new Outlook(true, true, unresponsiveMillis(5_000)).retryAfterMillis())
+    assertThat(new ServerSearchPolicy(true, true, unresponsiveMillis(5_000)).retryAfterMillis())
         .isEqualTo(100);
   }
 
   @Test
   void brokenConnectionDoesNotCountAsFailedPrimary() {
-    Outlook policy = new Outlook(true, false, unresponsiveMillis(50));
+    ServerSearchPolicy policy = new ServerSearchPolicy(true, false, unresponsiveMillis(50));
     assertThat(policy.isSearchOver(0, TIMEOUT, OBJECTIVE)).isFalse();
     assertThat(policy.retryAfterMillis()).isEqualTo(50);
   }
 
   @Test
   void replicaReadsContinueOnIsolatedHost() {
-    Outlook policy = new Outlook(false, false, unresponsiveMillis(5_000));
-    assertThat(policy.hopeless()).isFalse();
+    ServerSearchPolicy policy = new ServerSearchPolicy(false, false, unresponsiveMillis(5_000));
+    assertThat(policy.isIsolated()).isFalse();
     assertThat(policy.isSearchOver(0, TIMEOUT, OBJECTIVE)).isFalse();
   }
 
@@ -54,14 +54,14 @@
   void latencyObjectiveLimitsWaitForSlot() {
     // Replicas lag and all work goes to a primary with two slots. Statements waited for half of
     // their timeout, so that even those that got a slot finished late.
-    Outlook policy = new Outlook(true, true, OptionalLong.empty());
+    ServerSearchPolicy policy = new ServerSearchPolicy(true, true, OptionalLong.empty());
     assertThat(policy.isSearchOver(OBJECTIVE - 1, TIMEOUT, OBJECTIVE)).isFalse();
     assertThat(policy.isSearchOver(OBJECTIVE, TIMEOUT, OBJECTIVE)).isTrue();
   }
 
   @Test
   void statementWithoutObjectiveWaitsForHalfOfItsTimeout() {
-    Outlook policy = new Outlook(false, true, OptionalLong.empty());
+    ServerSearchPolicy policy = new ServerSearchPolicy(false, true, OptionalLong.empty());
     assertThat(policy.isSearchOver(TIMEOUT / 2 - 1, TIMEOUT, 0)).isFalse();
     assertThat(policy.isSearchOver(TIMEOUT / 2, TIMEOUT, 0)).isTrue();
   }
@@ -70,7 +70,7 @@
   void statementIsRefusedImmediatelyWhenFailoverExceedsItsDeadline() {
     // The primary is unreachable. Statements were held for half of their timeout, although the next
     // primary could not be available before their deadline.
-    Outlook policy = new Outlook(true, true, unresponsiveMillis(500));
+    ServerSearchPolicy policy = new ServerSearchPolicy(true, true, unresponsiveMillis(500));
     assertThat(policy.isSearchOver(0, TIMEOUT, OBJECTIVE)).isTrue();
     assertThat(policy.retryAfterMillis()).isEqualTo(1_900);
     long longTimeout = TimeUnit.MILLISECONDS.toNanos(3_000);
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/SessionFixture.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/SessionFixture.java
@@ -134,7 +134,7 @@
             0,
             Bytes.of(new byte[0]),
             Bytes.of(new byte[0])));
-    views.offer(editor.at(new ViewVersion(1, version)));
+    views.updateIfNewer(editor.at(new ViewVersion(1, version)));
   }
 
   private DatabaseState database(String name, SessionReads reads) {
@@ -142,8 +142,8 @@
         name, "/", group.id(), reads, TIMEOUT_MILLIS, TIMEOUT_MILLIS, 1, STALENESS_MILLIS);
   }
 
-  SessionParts parts() {
-    return service.parts();
+  SessionContext context() {
+    return service.context();
   }
 
   /** Advances the clock of all sessions. */
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/StatementRunTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/StatementRunTest.java
@@ -96,7 +96,7 @@
     long nowNanos = System.nanoTime();
     assertThat(caller.write("a", "2").succeeded()).isTrue();
     GroupRouting routing = new GroupRouting(new ZoneName("z1"));
-    routing.doubted(fixture.group.states().get(0), nowNanos);
+    routing.responseLost(fixture.group.states().get(0), nowNanos);
     assertThat(routing.inBackoff(fixture.group.states().get(0), nowNanos)).isFalse();
   }
 
@@ -115,7 +115,10 @@
             System.nanoTime() + 1_000_000);
 
     SessionReply reply =
-        new StatementRun(fixture.parts(), nearDeadline, ServerDemand.primary()).run().get().reply();
+        new StatementRun(fixture.context(), nearDeadline, ServerRequirement.primary())
+            .run()
+            .get()
+            .reply();
 
     assertThat(reply.refusedWith(RefusalCode.BUSY)).isTrue();
     assertThat(fixture.group.server("s1").ran()).isEmpty();
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/drain/RequestsInFlightTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/drain/RequestsInFlightTest.java
@@ -25,7 +25,7 @@
     inFlight.run(() -> local);
 
     final CompletableFuture<Void> drained = inFlight.drain();
-    inFlight.runToTheEnd(() -> forwarded);
+    inFlight.runEvenIfDraining(() -> forwarded);
     AlderyardException refused =
         assertThrows(
             AlderyardException.class,
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/freshness/FreshnessTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/freshness/FreshnessTest.java
@@ -20,7 +20,7 @@
 import org.alderyard.common.view.ServerStatus;
 import org.alderyard.common.view.TermStart;
 import org.alderyard.proxy.freshness.Eligibility.Verdict;
-import org.alderyard.proxy.session.Requirement;
+import org.alderyard.proxy.session.ReadRequirement;
 import org.junit.jupiter.api.Test;
 
 /** Tests the age bounds of replicas and the check of replicas against reads. */
@@ -59,7 +59,7 @@
         group,
         server(id, 1),
         freshness.of(id),
-        freshness.reachedBy(demand.requirement().position()),
+        freshness.writtenBy(demand.requirement().position()),
         nowNanos);
   }
 
@@ -74,7 +74,7 @@
       @ForAll @IntRange(min = 0, max = 300) int maxLag) {
     SplittableRandom random = new SplittableRandom(seed);
     GroupFreshness groupFreshness = new GroupFreshness();
-    groupFreshness.follow(group(1, S1), 3);
+    groupFreshness.onViewChange(group(1, S1), 3);
     int steps = 800;
     long[] primaryIndex = new long[steps + 50];
     long[][] replicaIndex = new long[2][steps + 50];
@@ -124,7 +124,7 @@
    */
   @Test
   void partitionedPrimaryDoesNotKeepDataFresh() {
-    freshness.follow(group(1, S1), 3);
+    freshness.onViewChange(group(1, S1), 3);
     Position idle = new Position(1, 7);
     for (ServerId id : ALL) {
       observe(id, 1, id.equals(S1), idle, 90);
@@ -133,7 +133,7 @@
       observe(S1, 1, true, idle, t);
     }
     assertThat(freshness.freshAsOf(idle)).isEqualTo(OptionalLong.of(90));
-    ReadDemand bounded = ReadDemand.bounded(200, Requirement.NONE);
+    ReadDemand bounded = ReadDemand.bounded(200, ReadRequirement.NONE);
     assertThat(decide(bounded, group(1, S1), S3, 280).verdict()).isEqualTo(Verdict.ELIGIBLE);
     assertThat(decide(bounded, group(1, S1), S3, 1000).verdict()).isEqualTo(Verdict.BEHIND);
   }
@@ -145,13 +145,13 @@
    */
   @Test
   void measurementsOfReplacedPrimaryAreDroppedWithItsTerm() {
-    freshness.follow(group(1, S1), 3);
+    freshness.onViewChange(group(1, S1), 3);
     Position idle = new Position(1, 7);
     for (ServerId id : ALL) {
       observe(id, 1, id.equals(S1), idle, 90);
     }
     observe(S1, 1, true, idle, 500);
-    freshness.follow(group(2, S2, new TermStart(2, 7)), 3);
+    freshness.onViewChange(group(2, S2, new TermStart(2, 7)), 3);
     observe(S2, 2, true, new Position(2, 8), 510);
     observe(S1, 2, false, idle, 510);
     observe(S3, 2, false, idle, 510);
@@ -165,10 +165,10 @@
   @Test
   void restartedReplicaIsUnknown() {
     GroupState group = group(1, S1);
-    freshness.follow(group, 3);
+    freshness.onViewChange(group, 3);
     observe(S1, 1, true, new Position(1, 5), 10);
     observe(S2, 1, false, new Position(1, 5), 10);
-    ReadDemand demand = ReadDemand.session(Requirement.atLeast(new Position(1, 5)));
+    ReadDemand demand = ReadDemand.session(ReadRequirement.atLeast(new Position(1, 5)));
     assertThat(decide(demand, group, S2, 20).verdict()).isEqualTo(Verdict.ELIGIBLE);
     Eligibility restarted =
         EligibilityRule.decide(
@@ -184,9 +184,9 @@
   @Test
   void returningPrimaryWithLostTailIsDiverged() {
     GroupState group = group(2, S2, new TermStart(2, 40));
-    freshness.follow(group, 3);
+    freshness.onViewChange(group, 3);
     observe(S1, 1, false, new Position(1, 100), 10);
-    ReadDemand demand = ReadDemand.session(Requirement.atLeast(new Position(1, 30)));
+    ReadDemand demand = ReadDemand.session(ReadRequirement.atLeast(new Position(1, 30)));
     assertThat(decide(demand, group, S1, 20).verdict()).isEqualTo(Verdict.DIVERGED);
     assertThat(decide(ReadDemand.ANY, group, S1, 20).verdict()).isEqualTo(Verdict.DIVERGED);
   }
@@ -198,11 +198,11 @@
   @Test
   void estimatedDelayGrowsForStoppedReplica() {
     GroupState group = group(1, S1);
-    freshness.follow(group, 3);
+    freshness.onViewChange(group, 3);
     observe(S1, 1, true, new Position(1, 5), 0);
     observe(S2, 1, false, new Position(1, 5), 20);
     observe(S1, 1, true, new Position(1, 6), 99);
-    ReadDemand demand = ReadDemand.session(Requirement.atLeast(new Position(1, 6)));
+    ReadDemand demand = ReadDemand.session(ReadRequirement.atLeast(new Position(1, 6)));
     assertThat(decide(demand, group, S2, 110).catchUpNanos()).isEqualTo(OptionalLong.of(11));
     observe(S2, 1, false, new Position(1, 5), 5_000);
     assertThat(decide(demand, group, S2, 5_100).catchUpNanos().getAsLong()).isAtLeast(4_000L);
@@ -215,10 +215,10 @@
   @Test
   void lagIsEstimatedForFirstReadAfterStart() {
     GroupState group = group(1, S1);
-    freshness.follow(group, 3);
+    freshness.onViewChange(group, 3);
     observe(S2, 1, false, new Position(1, 5), 0);
     observe(S1, 1, true, new Position(1, 5), 2);
-    ReadDemand demand = ReadDemand.session(Requirement.atLeast(new Position(1, 6)));
+    ReadDemand demand = ReadDemand.session(ReadRequirement.atLeast(new Position(1, 6)));
     assertThat(decide(demand, group, S2, 30).catchUpNanos().isPresent()).isTrue();
   }
 
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/lease/SteadyWishTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/lease/SmoothedConnectionTargetTest.java
@@ -14,56 +14,57 @@
  * requested its own peak of the last second, the hosts together held all connections that a server
  * accepts with a third of them in use, and closed and reopened them with each burst.
  */
-class SteadyWishTest {
+class SmoothedConnectionTargetTest {
   private static final ServerId SERVER = new ServerId("s1");
   private static final PoolUse PEAK_OF_FIVE = new PoolUse(5, 5, 0);
 
   private final Map<ServerId, Double> means = new HashMap<>();
-  private final SteadyWish target = new SteadyWish(server -> means.getOrDefault(server, 0.0));
+  private final SmoothedConnectionTarget target =
+      new SmoothedConnectionTarget(server -> means.getOrDefault(server, 0.0));
 
-  private int wanted(double mean) {
+  private int targetConnections(double mean) {
     means.put(SERVER, mean);
-    return target.wanted(SERVER, PEAK_OF_FIVE);
+    return target.targetConnections(SERVER, PEAK_OF_FIVE);
   }
 
   @Test
   void peakAloneDoesNotRaiseTheTarget() {
-    assertThat(wanted(0.3)).isEqualTo(1);
+    assertThat(targetConnections(0.3)).isEqualTo(1);
   }
 
   @Test
   void higherMeanDemandRaisesTheTargetImmediately() {
-    wanted(0.3);
+    targetConnections(0.3);
 
-    assertThat(wanted(2.0)).isEqualTo(3);
+    assertThat(targetConnections(2.0)).isEqualTo(3);
   }
 
   @Test
   void targetFallsOverSeveralRenewals() {
-    wanted(2.0);
+    targetConnections(2.0);
 
-    assertThat(wanted(0.0)).isEqualTo(3);
+    assertThat(targetConnections(0.0)).isEqualTo(3);
     for (int renewal = 0; renewal < 10; renewal++) {
-      wanted(0.0);
+      targetConnections(0.0);
     }
-    assertThat(wanted(0.0)).isEqualTo(1);
+    assertThat(targetConnections(0.0)).isEqualTo(1);
   }
 
   @Test
   void idleServerIsReleasedEventually() {
-    wanted(0.5);
+    targetConnections(0.5);
     for (int renewal = 0; renewal < 60; renewal++) {
-      wanted(0.0);
+      targetConnections(0.0);
     }
 
-    assertThat(wanted(0.0)).isEqualTo(0);
+    assertThat(targetConnections(0.0)).isEqualTo(0);
   }
 
   @Test
   void removedServersLoseTheirState() {
-    wanted(2.0);
+    targetConnections(2.0);
     target.retain(Set.of());
 
-    assertThat(wanted(0.0)).isEqualTo(0);
+    assertThat(targetConnections(0.0)).isEqualTo(0);
   }
 }
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/ledger/LedgerPropertyTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/ledger/LedgerPropertyTest.java
@@ -96,9 +96,9 @@
         return;
       }
       if (cluster.nowMillis >= leaseEnd(proxy)) {
-        cluster.proxy(proxy).ledger.viewLeaseLapsed();
+        cluster.proxy(proxy).ledger.onViewLeaseRegained();
       }
-      cluster.proxy(proxy).views.offer(cluster.latestView);
+      cluster.proxy(proxy).views.updateIfNewer(cluster.latestView);
       lastContactMillis.put(proxy, cluster.nowMillis);
     }
 
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/ledger/OwnerLedgerTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/ledger/OwnerLedgerTest.java
@@ -162,8 +162,8 @@
   void ownersOfTwoViewsDoNotBothRunTheRequest() {
     final String id = cluster.idOwnedBy("p1", "p1", "p2", "p3");
     cluster.publish("p2", "p3");
-    cluster.proxy("p2").views.offer(cluster.latestView);
-    cluster.proxy("p3").views.offer(cluster.latestView);
+    cluster.proxy("p2").views.updateIfNewer(cluster.latestView);
+    cluster.proxy("p3").views.updateIfNewer(cluster.latestView);
 
     cluster.proxy("p1").send(id, cluster.nowMillis).join();
     failureOf(cluster.proxy("p2").send(id, cluster.nowMillis));
@@ -182,14 +182,14 @@
   void returningOwnerDoesNotRerunRequestsOfOtherOwner() {
     final String id = cluster.idOwnedBy("p1", "p1", "p2", "p3");
     cluster.publish("p2", "p3");
-    cluster.proxy("p2").views.offer(cluster.latestView);
-    cluster.proxy("p3").views.offer(cluster.latestView);
+    cluster.proxy("p2").views.updateIfNewer(cluster.latestView);
+    cluster.proxy("p3").views.updateIfNewer(cluster.latestView);
     cluster.advance(SETTLE_TIME);
     final long sentMillis = cluster.nowMillis;
     cluster.proxy("p2").send(id, sentMillis).join();
 
     cluster.advance(Duration.ofSeconds(10));
-    cluster.proxy("p1").ledger.viewLeaseLapsed();
+    cluster.proxy("p1").ledger.onViewLeaseRegained();
     cluster.publishToAll("p1", "p2", "p3");
 
     assertThat(failureOf(cluster.proxy("p1").send(id, sentMillis)).outcome())
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/ledger/TestProxies.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/ledger/TestProxies.java
@@ -74,7 +74,7 @@
 
   void publishToAll(String... ids) {
     publish(ids);
-    proxies.values().forEach(proxy -> proxy.views.offer(latestView));
+    proxies.values().forEach(proxy -> proxy.views.updateIfNewer(latestView));
   }
 
   void advance(Duration duration) {
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/limit/LimitTablesLincheckTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/limit/LimitTablesLincheckTest.java
@@ -54,8 +54,8 @@
 
     /** Records a first attempt. */
     @Operation
-    public void firstTry() {
-      budget.firstTry();
+    public void recordFirstAttempt() {
+      budget.recordFirstAttempt();
     }
 
     /** Removes a resend from the budget. */
