--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/limit/ServerGateTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/limit/ServerLimiterTest.java
@@ -25,30 +25,30 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests which statements a {@link ServerGate} starts, queues and refuses, and tests the other
+ * Tests which statements a {@link ServerLimiter} starts, queues and refuses, and tests the other
  * limits of this package.
  */
-class ServerGateTest {
+class ServerLimiterTest {
   private static final Flow PACKER = new Flow(new PoolName("ledger"), "packer");
   private static final Flow CRAWLER = new Flow(new PoolName("ledger"), "crawler");
   private static final long SERVICE_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
   private static final long FAR_DEADLINE = TimeUnit.SECONDS.toNanos(60);
 
-  private final ServerGate<Integer> limiter = new ServerGate<>(new FixedLimit(2), 10);
+  private final ServerLimiter<Integer> limiter = new ServerLimiter<>(new FixedLimit(2), 10);
   private int lastId;
 
-  private Entrant<Integer> read(Flow flow, long deadlineNanos) {
-    return new Entrant<>(flow, false, deadlineNanos, ++lastId);
+  private QueuedStatement<Integer> read(Flow flow, long deadlineNanos) {
+    return new QueuedStatement<>(flow, false, deadlineNanos, ++lastId);
   }
 
-  private Entrant<Integer> write(Flow flow) {
-    return new Entrant<>(flow, true, FAR_DEADLINE, ++lastId);
+  private QueuedStatement<Integer> write(Flow flow) {
+    return new QueuedStatement<>(flow, true, FAR_DEADLINE, ++lastId);
   }
 
   private void recordServiceTimes() {
     for (int i = 0; i < 50; i++) {
-      limiter.enter(read(PACKER, FAR_DEADLINE), 0);
-      limiter.leave(false, SERVICE_NANOS, true, 0);
+      limiter.submit(read(PACKER, FAR_DEADLINE), 0);
+      limiter.complete(false, SERVICE_NANOS, true, 0);
     }
   }
 
@@ -60,16 +60,16 @@
   @Test
   void floodOfOneCallerDoesNotStarveAnother() {
     for (int i = 0; i < 1000; i++) {
-      limiter.enter(read(CRAWLER, FAR_DEADLINE), 0);
+      limiter.submit(read(CRAWLER, FAR_DEADLINE), 0);
     }
     assertThat(limiter.queued()).isEqualTo(10);
-    Entrant<Integer> packerRead = read(PACKER, FAR_DEADLINE);
-    GateChange<Integer> change = limiter.enter(packerRead, 0);
-    assertThat(change.refused().get(0).reason()).isEqualTo(RefusalReason.DISPLACED);
-    assertThat(change.refused().get(0).entrant().flow()).isEqualTo(CRAWLER);
-    List<Entrant<Integer>> next = new ArrayList<>();
-    next.addAll(limiter.leave(false, SERVICE_NANOS, true, 0).started());
-    next.addAll(limiter.leave(false, SERVICE_NANOS, true, 0).started());
+    QueuedStatement<Integer> packerRead = read(PACKER, FAR_DEADLINE);
+    AdmissionResult<Integer> result = limiter.submit(packerRead, 0);
+    assertThat(result.refused().get(0).reason()).isEqualTo(RefusalReason.DISPLACED);
+    assertThat(result.refused().get(0).statement().flow()).isEqualTo(CRAWLER);
+    List<QueuedStatement<Integer>> next = new ArrayList<>();
+    next.addAll(limiter.complete(false, SERVICE_NANOS, true, 0).started());
+    next.addAll(limiter.complete(false, SERVICE_NANOS, true, 0).started());
     assertThat(next).contains(packerRead);
   }
 
@@ -81,12 +81,12 @@
   void readThatWouldMissItsDeadlineIsRefusedOnArrival() {
     recordServiceTimes();
     for (int i = 0; i < 8; i++) {
-      limiter.enter(read(PACKER, FAR_DEADLINE), 0);
+      limiter.submit(read(PACKER, FAR_DEADLINE), 0);
     }
-    GateChange<Integer> refusedRead = limiter.enter(read(PACKER, 2 * SERVICE_NANOS), 0);
+    AdmissionResult<Integer> refusedRead = limiter.submit(read(PACKER, 2 * SERVICE_NANOS), 0);
     assertThat(refusedRead.refused().get(0).reason()).isEqualTo(RefusalReason.WOULD_MISS_DEADLINE);
     assertThat(refusedRead.refused().get(0).retryAfterMillis()).isAtLeast(20L);
-    assertThat(limiter.enter(read(CRAWLER, 4 * SERVICE_NANOS), 0).refused()).isEmpty();
+    assertThat(limiter.submit(read(CRAWLER, 4 * SERVICE_NANOS), 0).refused()).isEmpty();
   }
 
   /**
@@ -97,11 +97,11 @@
   void queuedReadIsRefusedBeforeItsDeadline() {
     recordServiceTimes();
     for (int i = 0; i < 3; i++) {
-      limiter.enter(read(PACKER, 3 * SERVICE_NANOS), 0);
+      limiter.submit(read(PACKER, 3 * SERVICE_NANOS), 0);
     }
     assertThat(limiter.sweep(SERVICE_NANOS).refused()).isEmpty();
     assertThat(limiter.sweep(2 * SERVICE_NANOS + 1).refused()).hasSize(1);
-    assertThat(limiter.leave(false, SERVICE_NANOS, true, 2 * SERVICE_NANOS + 2).started())
+    assertThat(limiter.complete(false, SERVICE_NANOS, true, 2 * SERVICE_NANOS + 2).started())
         .isEmpty();
   }
 
@@ -111,50 +111,51 @@
    */
   @Test
   void readsLeaveCapacityForWritesAtPrimary() {
-    limiter.primary(true);
-    int initialRoom = limiter.readRoom();
+    limiter.setPrimary(true);
+    int initialCapacity = limiter.readCapacity();
     for (int i = 0; i < 4; i++) {
-      limiter.enter(read(CRAWLER, FAR_DEADLINE), 0);
+      limiter.submit(read(CRAWLER, FAR_DEADLINE), 0);
     }
     assertThat(limiter.inFlight()).isEqualTo(1);
-    assertThat(limiter.readRoom()).isEqualTo(initialRoom - 4);
-    assertThat(limiter.enter(write(PACKER), 0).started()).hasSize(1);
-    limiter.enter(write(PACKER), 0);
-    assertThat(limiter.leave(false, SERVICE_NANOS, true, 0).started().get(0).write()).isTrue();
+    assertThat(limiter.readCapacity()).isEqualTo(initialCapacity - 4);
+    assertThat(limiter.submit(write(PACKER), 0).started()).hasSize(1);
+    limiter.submit(write(PACKER), 0);
+    assertThat(limiter.complete(false, SERVICE_NANOS, true, 0).started().get(0).write()).isTrue();
   }
 
   @Property(seed = "20261202", tries = 200)
   void everyStatementStartsOrIsRefusedOnceWithinTheLimit(
       @ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
-    ServerGate<Integer> testedLimiter = new ServerGate<>(new AimdLimit(3), 8);
+    ServerLimiter<Integer> testedLimiter = new ServerLimiter<>(new AimdLimit(3), 8);
     SplittableRandom random = new SplittableRandom(seed);
     Map<Integer, Integer> endCounts = new HashMap<>();
-    List<Entrant<Integer>> running = new ArrayList<>();
-    int entered = 0;
+    List<QueuedStatement<Integer>> running = new ArrayList<>();
+    int submitted = 0;
     long now = 0;
     for (int step = 0; step < 400; step++) {
       now += random.nextLong(SERVICE_NANOS);
-      GateChange<Integer> change;
+      AdmissionResult<Integer> result;
       if (random.nextInt(10) < 6) {
         Flow flow = new Flow(new PoolName("p" + random.nextInt(2)), "c" + random.nextInt(3));
         long deadline = now + random.nextLong(20 * SERVICE_NANOS);
         boolean write = random.nextBoolean();
-        change = testedLimiter.enter(new Entrant<>(flow, write, deadline, ++entered), now);
+        result =
+            testedLimiter.submit(new QueuedStatement<>(flow, write, deadline, ++submitted), now);
       } else if (!running.isEmpty()) {
-        Entrant<Integer> ended = running.remove(random.nextInt(running.size()));
-        change =
-            testedLimiter.leave(
+        QueuedStatement<Integer> ended = running.remove(random.nextInt(running.size()));
+        result =
+            testedLimiter.complete(
                 ended.write(), 1 + random.nextLong(3 * SERVICE_NANOS), random.nextBoolean(), now);
       } else {
-        change = testedLimiter.sweep(now);
+        result = testedLimiter.sweep(now);
       }
-      running.addAll(change.started());
-      change.started().forEach(e -> endCounts.merge(e.work(), 1, Integer::sum));
-      change.refused().forEach(r -> endCounts.merge(r.entrant().work(), 1, Integer::sum));
+      running.addAll(result.started());
+      result.started().forEach(e -> endCounts.merge(e.work(), 1, Integer::sum));
+      result.refused().forEach(r -> endCounts.merge(r.statement().work(), 1, Integer::sum));
       assertThat(testedLimiter.inFlight()).isEqualTo(running.size());
       assertThat(running.size()).isAtMost(3);
       assertThat(testedLimiter.queued()).isAtMost(8);
-      assertThat(endCounts.size() + testedLimiter.queued()).isEqualTo(entered);
+      assertThat(endCounts.size() + testedLimiter.queued()).isEqualTo(submitted);
     }
     assertThat(endCounts.values().stream().allMatch(count -> count == 1)).isTrue();
   }
@@ -163,19 +164,20 @@
   void permitEndsOnceAndRefusalIsTyped() {
     PausedClock clock = new PausedClock();
     List<RefusalReason> refusals = new ArrayList<>();
-    Gates limiters =
-        new Gates(
+    ServerLimiters limiters =
+        new ServerLimiters(
             clock,
             (server, slots) -> new FixedLimit(slots),
             1,
             Runnable::run,
             (s, f, reason) -> refusals.add(reason));
     ServerId server = new ServerId("s1");
-    final Gates.Permit first = limiters.enter(server, 1, false, PACKER, false, FAR_DEADLINE).join();
-    final CompletableFuture<Gates.Permit> second =
-        limiters.enter(server, 1, false, PACKER, false, FAR_DEADLINE);
-    CompletableFuture<Gates.Permit> third =
-        limiters.enter(server, 1, false, PACKER, false, FAR_DEADLINE);
+    final ServerLimiters.Permit first =
+        limiters.acquire(server, 1, false, PACKER, false, FAR_DEADLINE).join();
+    final CompletableFuture<ServerLimiters.Permit> second =
+        limiters.acquire(server, 1, false, PACKER, false, FAR_DEADLINE);
+    CompletableFuture<ServerLimiters.Permit> third =
+        limiters.acquire(server, 1, false, PACKER, false, FAR_DEADLINE);
     Throwable failure = assertThrows(CompletionException.class, third::join);
     assertThat(Futures.typed(failure).outcome()).isEqualTo(Outcome.NOT_RUN);
     assertThat(refusals).containsExactly(RefusalReason.QUEUE_FULL);
@@ -184,17 +186,17 @@
     first.end(true);
     assertThat(second.isDone()).isTrue();
     assertThat(limiters.inFlight()).isEqualTo(1);
-    CompletableFuture<Gates.Permit> cancelled =
-        limiters.enter(server, 1, false, PACKER, false, FAR_DEADLINE);
+    CompletableFuture<ServerLimiters.Permit> cancelled =
+        limiters.acquire(server, 1, false, PACKER, false, FAR_DEADLINE);
     limiters.cancel(server, cancelled);
     second.join().end(true);
     assertThat(limiters.inFlight() + limiters.queued()).isEqualTo(0);
   }
 
   @Test
-  void leasedSlotsFollowTheLeaseUpToTheSlots() {
+  void leaseShareLimitFollowsTheLeaseUpToTheSlots() {
     int[] leasedConnections = {0};
-    LeasedSlots limit = new LeasedSlots(5, () -> leasedConnections[0], () -> 35);
+    LeaseShareLimit limit = new LeaseShareLimit(5, () -> leasedConnections[0], () -> 35);
     int sum = 0;
     for (int connections : new int[] {2, 2, 2, 2, 2, 2, 3, 3, 3, 3, 3, 4}) {
       leasedConnections[0] = connections;
@@ -213,10 +215,11 @@
    */
   @Test
   void resendsStayWithinShareOfTraffic() {
-    RetryBudget budget = new RetryBudget(RetryBudget.DEFAULT_SHARE, RetryBudget.DEFAULT_SAVED);
+    RetryBudget budget =
+        new RetryBudget(RetryBudget.DEFAULT_SHARE, RetryBudget.DEFAULT_MAX_RESENDS);
     int resends = 0;
     for (int i = 0; i < 1000; i++) {
-      budget.firstTry();
+      budget.recordFirstAttempt();
       resends += budget.tryResend() ? 1 : 0;
     }
     assertThat(resends).isAtMost(110);
@@ -242,9 +245,9 @@
   void proxiesShareTheConnectionRate() {
     // With a fixed rate of five connections per second, meant for one of a dozen proxies, a single
     // proxy refused most statements of its first seconds despite a lease of thirty connections.
-    assertThat(PacedConnector.share(1)).isEqualTo(60);
-    assertThat(PacedConnector.share(12)).isEqualTo(5);
-    assertThat(PacedConnector.share(500)).isEqualTo(1);
-    assertThat(PacedConnector.share(0)).isEqualTo(60);
+    assertThat(PacedConnector.ratePerProxy(1)).isEqualTo(60);
+    assertThat(PacedConnector.ratePerProxy(12)).isEqualTo(5);
+    assertThat(PacedConnector.ratePerProxy(500)).isEqualTo(1);
+    assertThat(PacedConnector.ratePerProxy(0)).isEqualTo(60);
   }
 }
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/monitor/GroupMonitorTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/monitor/GroupMonitorTest.java
@@ -46,9 +46,9 @@
    */
   @Test
   void onlyGroupsInUseArePolledAtShortInterval() {
-    views.offer(view());
+    views.updateIfNewer(view());
     for (int round = 0; round < 100; round++) {
-      monitor.used(BUSY);
+      monitor.recordUse(BUSY);
       step();
     }
     assertThat(admin.requestsByPort.get(1)).isEqualTo(100);
@@ -57,8 +57,8 @@
 
   @Test
   void groupIsPolledAtLongIntervalAfterUse() {
-    views.offer(view());
-    monitor.used(BUSY);
+    views.updateIfNewer(view());
+    monitor.recordUse(BUSY);
     for (int round = 0; round < 250; round++) {
       step();
     }
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/pool/BlockedConnectionTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/pool/BlockedConnectionTest.java
@@ -44,9 +44,9 @@
   @Test
   void statementBehindBlockedConnectionGetsAnotherConnection() throws Exception {
     ConnectionPools<SessionConnection> pools = pools(2);
-    SessionConnection blocked = pools.take(server, LONG).join();
+    SessionConnection blocked = pools.acquire(server, LONG).join();
 
-    SessionConnection other = pools.take(server, LONG).get(20, TimeUnit.SECONDS);
+    SessionConnection other = pools.acquire(server, LONG).get(20, TimeUnit.SECONDS);
 
     assertThat(other).isNotSameInstanceAs(blocked);
   }
@@ -54,8 +54,8 @@
   @Test
   void allowanceWithoutSpareIsNotExceeded() throws Exception {
     ConnectionPools<SessionConnection> pools = pools(0);
-    final SessionConnection connection = pools.take(server, LONG).join();
-    CompletableFuture<SessionConnection> queued = pools.take(server, LONG);
+    final SessionConnection connection = pools.acquire(server, LONG).join();
+    CompletableFuture<SessionConnection> queued = pools.acquire(server, LONG);
     TimeUnit.MILLISECONDS.sleep(250);
     assertThat(queued.isDone()).isFalse();
 
@@ -92,8 +92,8 @@
   @Test
   void spareConnectionIsClosedOnRelease() throws Exception {
     ConnectionPools<SessionConnection> pools = pools(2);
-    SessionConnection blocked = pools.take(server, LONG).join();
-    SessionConnection spare = pools.take(server, LONG).get(20, TimeUnit.SECONDS);
+    SessionConnection blocked = pools.acquire(server, LONG).join();
+    SessionConnection spare = pools.acquire(server, LONG).get(20, TimeUnit.SECONDS);
 
     pools.release(server, spare);
 
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/pool/FullServerTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/pool/FullServerTest.java
@@ -52,7 +52,7 @@
     List<CompletableFuture<SessionConnection>> requests = new ArrayList<>();
     for (int statement = 0; statement < 200; statement++) {
       nowMillis += 5;
-      requests.add(pools.take(server, LONG));
+      requests.add(pools.acquire(server, LONG));
     }
 
     assertThat(connectAttempts).isAtMost(10);
@@ -64,11 +64,11 @@
 
   @Test
   void connectionIsRetriedAfterTheBackoff() {
-    pools.take(server, LONG);
+    pools.acquire(server, LONG);
     acceptableConnections = 1;
     nowMillis += 200;
 
-    assertThat(pools.take(server, LONG).join().usable()).isTrue();
+    assertThat(pools.acquire(server, LONG).join().usable()).isTrue();
   }
 
   @Test
@@ -76,9 +76,9 @@
     // The server accepts one connection of this host. The second statement receives it after the
     // first, instead of connecting without success or failing.
     acceptableConnections = 1;
-    final SessionConnection connection = pools.take(server, LONG).join();
-    pools.take(server, LONG);
-    CompletableFuture<SessionConnection> queued = pools.take(server, LONG);
+    final SessionConnection connection = pools.acquire(server, LONG).join();
+    pools.acquire(server, LONG);
+    CompletableFuture<SessionConnection> queued = pools.acquire(server, LONG);
     assertThat(queued.isDone()).isFalse();
 
     pools.release(server, connection);
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/pool/ServerPoolsTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/pool/ServerPoolsTest.java
@@ -51,9 +51,9 @@
   @Test
   void queuedRequestReceivesTheReleasedConnection() {
     FakeServer server = new FakeServer(2);
-    final ServerConnection first = server.pools.take(SERVER, LONG).join();
-    server.pools.take(SERVER, LONG).join();
-    CompletableFuture<ServerConnection> third = server.pools.take(SERVER, LONG);
+    final ServerConnection first = server.pools.acquire(SERVER, LONG).join();
+    server.pools.acquire(SERVER, LONG).join();
+    CompletableFuture<ServerConnection> third = server.pools.acquire(SERVER, LONG);
     assertThat(third.isDone()).isFalse();
     assertThat(server.pools.takeUse(SERVER.id())).isEqualTo(new PoolUse(2, 2, 1));
     server.pools.release(SERVER, first);
@@ -68,7 +68,7 @@
   @Test
   void noConnectionIsOpenedWithoutLease() {
     FakeServer server = new FakeServer(0);
-    AlderyardException error = failure(server.pools.take(SERVER, LONG));
+    AlderyardException error = failure(server.pools.acquire(SERVER, LONG));
     assertThat(error.code()).isEqualTo(ErrorCode.NO_ELIGIBLE_SERVER);
     assertThat(error.outcome()).isEqualTo(Outcome.NOT_RUN);
     assertThat(server.open()).isEqualTo(0);
@@ -82,8 +82,8 @@
   @Test
   void expiredLeaseClosesConnectionsInUse() {
     FakeServer server = new FakeServer(3);
-    final ServerConnection inUse = server.pools.take(SERVER, LONG).join();
-    server.pools.release(SERVER, server.pools.take(SERVER, LONG).join());
+    final ServerConnection inUse = server.pools.acquire(SERVER, LONG).join();
+    server.pools.release(SERVER, server.pools.acquire(SERVER, LONG).join());
     server.allowed = 0;
     server.pools.enforceAllowances(List.of(SERVER));
     assertThat(server.open()).isEqualTo(0);
@@ -99,8 +99,8 @@
   @Test
   void connectionsOfAnEarlierIncarnationAreNotReused() {
     FakeServer server = new FakeServer(1);
-    ServerConnection old = server.pools.take(SERVER, LONG).join();
-    CompletableFuture<ServerConnection> queued = server.pools.take(SERVER, LONG);
+    ServerConnection old = server.pools.acquire(SERVER, LONG).join();
+    CompletableFuture<ServerConnection> queued = server.pools.acquire(SERVER, LONG);
     server.pools.enforceAllowances(List.of(server(2)));
     assertThat(queued.join()).isNotSameInstanceAs(old);
     server.pools.release(SERVER, old);
@@ -116,8 +116,8 @@
   void failedOpeningServesTheNextRequest() {
     FakeServer server = new FakeServer(1);
     server.deferConnects = true;
-    CompletableFuture<ServerConnection> first = server.pools.take(SERVER, LONG);
-    final CompletableFuture<ServerConnection> second = server.pools.take(SERVER, LONG);
+    CompletableFuture<ServerConnection> first = server.pools.acquire(SERVER, LONG);
+    final CompletableFuture<ServerConnection> second = server.pools.acquire(SERVER, LONG);
     server.deferConnects = false;
     server
         .pendingConnects
@@ -158,13 +158,14 @@
       @ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     FakeServer server = new FakeServer(4);
-    List<ServerConnection> taken = new ArrayList<>();
+    List<ServerConnection> acquired = new ArrayList<>();
     for (int step = 0; step < 300; step++) {
       int action = random.nextInt(5);
       if (action < 2) {
-        server.pools.take(SERVER, LONG).thenAccept(taken::add);
-      } else if (action < 4 && !taken.isEmpty()) {
-        FakeConnection connection = (FakeConnection) taken.remove(random.nextInt(taken.size()));
+        server.pools.acquire(SERVER, LONG).thenAccept(acquired::add);
+      } else if (action < 4 && !acquired.isEmpty()) {
+        FakeConnection connection =
+            (FakeConnection) acquired.remove(random.nextInt(acquired.size()));
         connection.open &= random.nextInt(4) != 0;
         server.pools.release(SERVER, connection);
       } else {
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/routing/ReadRouterTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/routing/ReadRouterTest.java
@@ -27,7 +27,7 @@
 import org.alderyard.common.view.ServerStatus;
 import org.alderyard.proxy.freshness.ReadDemand;
 import org.alderyard.proxy.freshness.ServerFreshness;
-import org.alderyard.proxy.session.Requirement;
+import org.alderyard.proxy.session.ReadRequirement;
 import org.junit.jupiter.api.Test;
 
 /** Tests the routing of reads, load balancing and ejection. */
@@ -38,7 +38,7 @@
   private static final long NOW = 1_000_000_000L;
   private static final long MILLI = 1_000_000L;
   private static final Position WRITTEN = new Position(1, 50);
-  private static final ReadDemand OWN_WRITE = ReadDemand.session(Requirement.atLeast(WRITTEN));
+  private static final ReadDemand OWN_WRITE = ReadDemand.session(ReadRequirement.atLeast(WRITTEN));
 
   private final ServerState primary = server("s1", OWN_ZONE, ServerStatus.ACTIVE);
   private final ServerState near = server("s2", OWN_ZONE, ServerStatus.ACTIVE);
@@ -77,8 +77,8 @@
             state, all, demand, OptionalLong.of(NOW), primaryReadCapacity, NOW, 2_000 * MILLI));
   }
 
-  private static Requirement primaryOnly() {
-    return Requirement.PRIMARY;
+  private static ReadRequirement primaryOnly() {
+    return ReadRequirement.PRIMARY;
   }
 
   @Test
@@ -111,7 +111,7 @@
         .isEqualTo(RoutingReason.PRIMARY_SESSION_FOLDED);
     assertThat(
             decide(
-                    ReadDemand.bounded(100 * MILLI, Requirement.NONE),
+                    ReadDemand.bounded(100 * MILLI, ReadRequirement.NONE),
                     group,
                     1,
                     candidate(near, 60, 200))
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/session/SessionTokensTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/session/SessionTokensTest.java
@@ -65,7 +65,7 @@
 
   private ErrorCode rejection(String text, PoolName pool, View view) {
     AlderyardException error =
-        assertThrows(AlderyardException.class, () -> tokens.read(text, pool, view));
+        assertThrows(AlderyardException.class, () -> tokens.decode(text, pool, view));
     assertThat(error.outcome()).isEqualTo(Outcome.NOT_RUN);
     return error.code();
   }
@@ -86,9 +86,9 @@
       @ForAll("positions") Map<GroupId, Position> positions, @ForAll boolean folded) {
     SessionState session = SessionState.of(POOL, positions, folded);
     View view = view(List.of(NEW_KEY));
-    SessionState read = tokens.read(tokens.write(session, view), POOL, view);
-    assertThat(read).isEqualTo(session);
-    assertThat(List.copyOf(read.positions().keySet()))
+    SessionState decoded = tokens.decode(tokens.encode(session, view), POOL, view);
+    assertThat(decoded).isEqualTo(session);
+    assertThat(List.copyOf(decoded.positions().keySet()))
         .isEqualTo(List.copyOf(session.positions().keySet()));
   }
 
@@ -104,8 +104,8 @@
     assertThat(merged.positions().size()).isAtMost(SessionState.MAX_GROUPS);
     for (int i = 0; i <= 90; i++) {
       GroupId group = new GroupId("g" + i);
-      for (Requirement side : List.of(left.requirement(group), right.requirement(group))) {
-        Requirement mergedRequirement = merged.requirement(group);
+      for (ReadRequirement side : List.of(left.requirement(group), right.requirement(group))) {
+        ReadRequirement mergedRequirement = merged.requirement(group);
         assertThat(
                 mergedRequirement.primaryOnly()
                     || !side.primaryOnly()
@@ -118,7 +118,7 @@
   @Property(seed = "20261202", tries = 300)
   void everyFlippedBitIsRejected(@ForAll @IntRange(min = 0, max = 100_000) int offset) {
     View view = view(List.of(OLD_KEY, NEW_KEY));
-    byte[] bytes = Base64.getUrlDecoder().decode(tokens.write(session(new Position(3, 40)), view));
+    byte[] bytes = Base64.getUrlDecoder().decode(tokens.encode(session(new Position(3, 40)), view));
     int bit = offset % (bytes.length * 8);
     bytes[bit / 8] ^= (byte) (1 << (bit % 8));
     String damaged = Base64.getUrlEncoder().withoutPadding().encodeToString(bytes);
@@ -134,7 +134,7 @@
   void everyChangedCharacterIsRejected() {
     View view = view(List.of(OLD_KEY));
     for (long index : new long[] {1, 200, 40_000}) {
-      String text = tokens.write(session(new Position(3, index)), view);
+      String text = tokens.encode(session(new Position(3, index)), view);
       for (int i = 0; i < text.length(); i++) {
         char other = text.charAt(i) == 'B' ? 'C' : 'B';
         String changed = text.substring(0, i) + other + text.substring(i + 1);
@@ -147,7 +147,7 @@
   @Test
   void everyTruncationIsRejected() {
     View view = view(List.of(OLD_KEY));
-    String text = tokens.write(session(new Position(3, 40)), view);
+    String text = tokens.encode(session(new Position(3, 40)), view);
     for (int length = 1; length < text.length(); length++) {
       assertThat(rejection(text.substring(0, length), POOL, view))
           .isAnyOf(ErrorCode.TOKEN_DAMAGED, ErrorCode.TOKEN_FORGED, ErrorCode.TOKEN_EXPIRED);
@@ -158,28 +158,28 @@
 
   @Test
   void tokenRemainsValidDuringKeyRotation() {
-    String old = tokens.write(session(new Position(1, 5)), view(List.of(OLD_KEY)));
+    String old = tokens.encode(session(new Position(1, 5)), view(List.of(OLD_KEY)));
     View rotated = view(List.of(NEW_KEY, OLD_KEY));
-    assertThat(tokens.read(old, POOL, rotated)).isEqualTo(session(new Position(1, 5)));
+    assertThat(tokens.decode(old, POOL, rotated)).isEqualTo(session(new Position(1, 5)));
     assertThat(rejection(old, POOL, view(List.of(NEW_KEY)))).isEqualTo(ErrorCode.TOKEN_EXPIRED);
   }
 
   @Test
   void tokenSignedWithAnotherSecretIsForged() {
     String forged =
-        tokens.write(session(new Position(1, 5)), view(List.of(key(OLD_KEY.id(), (byte) 8))));
+        tokens.encode(session(new Position(1, 5)), view(List.of(key(OLD_KEY.id(), (byte) 8))));
     assertThat(rejection(forged, POOL, view(List.of(OLD_KEY)))).isEqualTo(ErrorCode.TOKEN_FORGED);
   }
 
   @Test
   void tokenOfAnotherPoolAndOldTokenAreRejected() {
     View view = view(List.of(OLD_KEY));
-    String text = tokens.write(session(new Position(1, 5)), view);
+    String text = tokens.encode(session(new Position(1, 5)), view);
     assertThat(rejection(text, new PoolName("ledger"), view)).isEqualTo(ErrorCode.TOKEN_WRONG_POOL);
     SessionTokens tokensNextWeek =
         new SessionTokens(() -> NOW.plus(Duration.ofDays(7)), Duration.ofHours(24));
     AlderyardException error =
-        assertThrows(AlderyardException.class, () -> tokensNextWeek.read(text, POOL, view));
+        assertThrows(AlderyardException.class, () -> tokensNextWeek.decode(text, POOL, view));
     assertThat(error.code()).isEqualTo(ErrorCode.TOKEN_EXPIRED);
   }
 
@@ -192,10 +192,10 @@
   void lostTailIsReportedAlthoughItsIndexIsReused() {
     View viewAfterFailover =
         view(List.of(OLD_KEY), group(2, new TermStart(1, 0), new TermStart(2, 40)));
-    String token = tokens.write(session(new Position(1, 100)), viewAfterFailover);
+    String token = tokens.encode(session(new Position(1, 100)), viewAfterFailover);
     assertThat(rejection(token, POOL, viewAfterFailover)).isEqualTo(ErrorCode.SESSION_TAIL_LOST);
-    String keptToken = tokens.write(session(new Position(1, 40)), viewAfterFailover);
-    assertThat(tokens.read(keptToken, POOL, viewAfterFailover))
+    String keptToken = tokens.encode(session(new Position(1, 40)), viewAfterFailover);
+    assertThat(tokens.decode(keptToken, POOL, viewAfterFailover))
         .isEqualTo(session(new Position(1, 40)));
   }
 
@@ -208,8 +208,8 @@
   void mergeDoesNotHideLostTail() {
     View viewAfterFailover =
         view(List.of(OLD_KEY), group(2, new TermStart(1, 0), new TermStart(2, 40)));
-    String lostToken = tokens.write(session(new Position(1, 100)), viewAfterFailover);
-    String validToken = tokens.write(session(new Position(2, 150)), viewAfterFailover);
+    String lostToken = tokens.encode(session(new Position(1, 100)), viewAfterFailover);
+    String validToken = tokens.encode(session(new Position(2, 150)), viewAfterFailover);
     assertThat(rejection(lostToken + "," + validToken, POOL, viewAfterFailover))
         .isEqualTo(ErrorCode.SESSION_TAIL_LOST);
     assertThat(rejection(validToken + ", " + lostToken, POOL, viewAfterFailover))
@@ -223,9 +223,9 @@
   @Test
   void sessionAheadOfViewIsRejectedAsRetryable() {
     View staleView = view(List.of(OLD_KEY), group(1, new TermStart(1, 0)));
-    String token = tokens.write(session(new Position(2, 41)), staleView);
+    String token = tokens.encode(session(new Position(2, 41)), staleView);
     AlderyardException error =
-        assertThrows(AlderyardException.class, () -> tokens.read(token, POOL, staleView));
+        assertThrows(AlderyardException.class, () -> tokens.decode(token, POOL, staleView));
     assertThat(error.code()).isEqualTo(ErrorCode.NO_PRIMARY);
     assertThat(error.retryAfterMillis().isPresent()).isTrue();
   }
@@ -239,10 +239,10 @@
       session = session.observe(groups.get(i), new Position(1, i + 1));
     }
     assertThat(session.folded()).isTrue();
-    assertThat(session.requirement(groups.get(0).id())).isEqualTo(Requirement.PRIMARY);
+    assertThat(session.requirement(groups.get(0).id())).isEqualTo(ReadRequirement.PRIMARY);
     assertThat(session.requirement(groups.get(1).id()))
-        .isEqualTo(Requirement.atLeast(new Position(1, 2)));
+        .isEqualTo(ReadRequirement.atLeast(new Position(1, 2)));
     View view = view(List.of(OLD_KEY));
-    assertThat(tokens.write(session, view).length()).isLessThan(SessionTokens.MAX_TEXT_LENGTH);
+    assertThat(tokens.encode(session, view).length()).isLessThan(SessionTokens.MAX_TEXT_LENGTH);
   }
 }
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/transaction/TransactionServiceTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/transaction/TransactionServiceTest.java
@@ -101,7 +101,7 @@
     transactions.endExpired();
 
     assertThat(transactions.openCount()).isEqualTo(0);
-    assertThat(transactions.ended(id).isDone()).isTrue();
+    assertThat(transactions.whenEnded(id).isDone()).isTrue();
   }
 
   /**
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/view/KnownPoolsTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/view/PoolLookupTest.java
@@ -13,9 +13,9 @@
 /**
  * Guards against a 404 for an existing pool: a proxy without a confirmed view may not know it yet.
  */
-class KnownPoolsTest {
+class PoolLookupTest {
   private static AlderyardException unknown(boolean viewConfirmed) {
-    KnownPools pools = new KnownPools(() -> viewConfirmed);
+    PoolLookup pools = new PoolLookup(() -> viewConfirmed);
     return assertThrows(
         AlderyardException.class, () -> pools.require(View.EMPTY, new PoolName("added-since")));
   }
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/write/TestGroup.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/write/TestGroup.java
@@ -51,7 +51,7 @@
       servers.put(id, new ServerState(id, 1, GROUP, new ZoneName("z"), address(id), status));
     }
     GroupState group = new GroupState(GROUP, term, primary, List.of(new TermStart(1, 0)), 5, 40);
-    views.offer(
+    views.updateIfNewer(
         new View(
             new ViewVersion(1, ++version),
             Map.of(),
