--- a/alderyard-common/src/main/java/org/alderyard/common/concurrent/Futures.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/concurrent/Futures.java
@@ -6,12 +6,12 @@
 import org.alderyard.common.error.ErrorCode;
 import org.alderyard.common.error.Outcome;
 
-/** Helpers for the failures that futures wrap. */
+/** Helpers for unwrapping and converting the failures of futures. */
 public final class Futures {
 
   private Futures() {}
 
-  /** Returns the failure itself, without the wrappers that futures add. */
+  /** Returns the cause of a failure, without the wrappers that futures add. */
   public static Throwable unwrap(Throwable failure) {
     Throwable current = failure;
     while ((current instanceof CompletionException || current instanceof ExecutionException)
@@ -21,7 +21,10 @@
     return current;
   }
 
-  /** Returns the failure as a typed error; an untyped one is {@code INTERNAL} and unknown. */
+  /**
+   * Returns the failure as a typed error; any other failure becomes {@code INTERNAL} with an
+   * unknown outcome.
+   */
   public static AlderyardException typed(Throwable failure) {
     Throwable cause = unwrap(failure);
     if (cause instanceof AlderyardException typed) {
--- a/alderyard-common/src/main/java/org/alderyard/common/concurrent/WorkerPool.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/concurrent/WorkerPool.java
@@ -15,20 +15,23 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The pool of workers of one process: it runs short tasks, at once, later or periodically. */
+/**
+ * The worker threads of one process, which run short tasks immediately, after a delay or
+ * periodically.
+ */
 public final class WorkerPool implements Executor, AutoCloseable {
   private static final Logger log = LoggerFactory.getLogger(WorkerPool.class);
 
   private final ScheduledThreadPoolExecutor executor;
 
-  /** Starts a pool whose threads carry the given name. */
+  /** Starts a pool whose threads are named {@code name-1}, {@code name-2} and so on. */
   public WorkerPool(String name, int threads) {
-    AtomicInteger number = new AtomicInteger();
+    AtomicInteger nextThreadNumber = new AtomicInteger();
     executor =
         new ScheduledThreadPoolExecutor(
             threads,
             task -> {
-              Thread thread = new Thread(task, name + "-" + number.incrementAndGet());
+              Thread thread = new Thread(task, name + "-" + nextThreadNumber.incrementAndGet());
               thread.setDaemon(true);
               return thread;
             });
@@ -40,21 +43,26 @@
     executor.execute(() -> runLogged(task));
   }
 
-  /** Runs a task after a delay. */
+  /** Runs a task once after the given delay. */
   public ScheduledFuture<?> schedule(Duration delay, Runnable task) {
     return executor.schedule(() -> runLogged(task), delay.toNanos(), TimeUnit.NANOSECONDS);
   }
 
-  /** Runs a task again and again, with the delay between the end of one run and the next. */
+  /**
+   * Runs a task periodically, with the delay between the end of one run and the start of the next.
+   */
   public ScheduledFuture<?> scheduleRepeatedly(Duration delay, Runnable task) {
     long nanos = delay.toNanos();
     return executor.scheduleWithFixedDelay(
         () -> runLogged(task), nanos, nanos, TimeUnit.NANOSECONDS);
   }
 
-  /** Returns a future that fails with {@code DEADLINE_EXCEEDED} when the given one is late. */
+  /**
+   * Returns a future that fails with {@code DEADLINE_EXCEEDED} if the given future does not
+   * complete within the timeout.
+   */
   public <T> CompletableFuture<T> withTimeout(
-      CompletableFuture<T> future, Duration timeout, Outcome outcomeIfLate) {
+      CompletableFuture<T> future, Duration timeout, Outcome outcomeOnTimeout) {
     CompletableFuture<T> result = new CompletableFuture<>();
     ScheduledFuture<?> timer =
         schedule(
@@ -63,7 +71,7 @@
                 result.completeExceptionally(
                     new AlderyardException(
                         ErrorCode.DEADLINE_EXCEEDED,
-                        outcomeIfLate,
+                        outcomeOnTimeout,
                         "no answer within " + timeout.toMillis() + " ms")));
     future.whenComplete(
         (value, failure) -> {
@@ -77,7 +85,7 @@
     return result;
   }
 
-  /** Returns the scheduler below, for libraries that ask for one. */
+  /** Returns the underlying scheduler, for libraries that require one. */
   public ScheduledExecutorService scheduler() {
     return executor;
   }
@@ -88,8 +96,8 @@
   }
 
   /**
-   * Runs a task and logs its failure: a periodic task that throws would never run again, without a
-   * trace. A task that meets the closed pool is no failure: the process ends.
+   * Runs a task and logs its failure. Without this, a periodic task that throws is cancelled
+   * silently. A rejection after the pool was closed is expected at shutdown and not logged.
    */
   private void runLogged(Runnable task) {
     try {
--- a/alderyard-common/src/main/java/org/alderyard/common/concurrent/package-info.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/concurrent/package-info.java
@@ -1,2 +1,2 @@
-/** The pool of workers, and small helpers for futures. */
+/** The worker pool and helpers for futures. */
 package org.alderyard.common.concurrent;
--- a/alderyard-common/src/main/java/org/alderyard/common/error/ErrorCode.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/error/ErrorCode.java
@@ -1,6 +1,6 @@
 package org.alderyard.common.error;
 
-/** The closed list of error codes, each with its HTTP status and whether a caller may retry. */
+/** The error codes, each with its HTTP status and whether a caller may retry. */
 public enum ErrorCode {
   BAD_REQUEST(400, false),
   MALFORMED_JSON(400, false),
@@ -46,8 +46,8 @@
   MESSAGE_DAMAGED(502, true),
   INTERNAL(500, false);
 
-  private static final int FIRST_STATUS_FOR_REQUEST = 400;
-  private static final int FIRST_STATUS_FOR_SERVICE = 500;
+  private static final int MIN_CLIENT_ERROR_STATUS = 400;
+  private static final int MIN_SERVER_ERROR_STATUS = 500;
 
   private final int httpStatus;
   private final boolean retryable;
@@ -57,19 +57,19 @@
     this.retryable = retryable;
   }
 
-  /** Returns the HTTP status that carries this error. */
+  /** Returns the HTTP status of a response with this error. */
   public int httpStatus() {
     return httpStatus;
   }
 
-  /** Returns whether the status blames the request itself: it is refused wherever it is sent. */
+  /** Returns whether the request itself is at fault, so that every host refuses it. */
   public boolean blamesRequest() {
     return !retryable
-        && httpStatus >= FIRST_STATUS_FOR_REQUEST
-        && httpStatus < FIRST_STATUS_FOR_SERVICE;
+        && httpStatus >= MIN_CLIENT_ERROR_STATUS
+        && httpStatus < MIN_SERVER_ERROR_STATUS;
   }
 
-  /** Returns whether the same request may succeed later without a change. */
+  /** Returns whether the unchanged request may succeed later. */
   public boolean retryable() {
     return retryable;
   }
--- a/alderyard-common/src/main/java/org/alderyard/common/error/FieldFault.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/error/FieldFault.java
@@ -1,12 +1,12 @@
 package org.alderyard.common.error;
 
 /**
- * One fault of an input: where it is, what was there and what is accepted.
+ * One invalid field of an input: its location, its value and the accepted values.
  *
  * @param object the object, as kind/name
- * @param field the field of it
- * @param value the value at fault; never a secret
- * @param accepted what is accepted instead
+ * @param field the field of the object
+ * @param value the invalid value; never a secret
+ * @param accepted a description of the accepted values
  */
 public record FieldFault(String object, String field, String value, String accepted) {
 
--- a/alderyard-common/src/main/java/org/alderyard/common/error/Outcome.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/error/Outcome.java
@@ -1,11 +1,11 @@
 package org.alderyard.common.error;
 
-/** What is known of the effect of a request that did not succeed. */
+/** What is known about the effect of a request that did not succeed. */
 public enum Outcome {
-  /** It is proved that the request did not run and never will. */
+  /** The request has not run and will never run. */
   NOT_RUN,
-  /** The request ran and the backend server refused it; it had no effect. */
+  /** The backend server ran the request and refused it; the request had no effect. */
   FAILED,
-  /** The request may have run; only the request ledger or a read can tell. */
+  /** The request may have run; only the request ledger or a read can determine whether it did. */
   OUTCOME_UNKNOWN
 }
--- a/alderyard-common/src/main/java/org/alderyard/common/error/package-info.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/error/package-info.java
@@ -1,2 +1,2 @@
-/** The errors of the system: one unchecked family, each with a code and an outcome. */
+/** The unchecked exceptions of the system, each with a code and an outcome. */
 package org.alderyard.common.error;
--- a/alderyard-common/src/main/java/org/alderyard/common/http/HttpPort.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/http/HttpPort.java
@@ -11,7 +11,7 @@
 import org.alderyard.common.error.ErrorCode;
 import org.xnio.XnioWorker;
 
-/** One listening HTTP port with its limits. */
+/** A listening HTTP port with its limits. */
 public final class HttpPort implements AutoCloseable {
   private final Undertow undertow;
   // Guarded by this.
@@ -20,9 +20,9 @@
   /**
    * Binds the port.
    *
-   * @param name what the port is for, for the error when it can't be bound
-   * @param tls the keys of the port; without them it speaks plain HTTP
-   * @throws AlderyardException with {@code SETTINGS_INVALID} when the address can't be bound
+   * @param name the purpose of the port, for the error message if it can't be bound
+   * @param tls the TLS context of the port; if empty, the port serves plain HTTP
+   * @throws AlderyardException with {@code SETTINGS_INVALID} if the address can't be bound
    */
   public HttpPort(
       String name,
@@ -40,7 +40,7 @@
                 UndertowOptions.REQUEST_PARSE_TIMEOUT, (int) limits.requestTimeout().toMillis())
             .setServerOption(
                 UndertowOptions.NO_REQUEST_TIMEOUT, (int) limits.idleTimeout().toMillis())
-            .setHandler(new BodyIntake(handler, limits));
+            .setHandler(new RequestBodyLimiter(handler, limits));
     String host = address.getAddress().getHostAddress();
     if (tls.isPresent()) {
       builder.addHttpsListener(address.getPort(), host, tls.get());
@@ -62,18 +62,18 @@
               + " port "
               + address
               + " can't be bound: "
-              + (inUse ? "it is in use" : failure.getMessage()));
+              + (inUse ? "the address is in use" : failure.getMessage()));
     }
   }
 
-  /** Returns the address that is bound, with the real port when 0 was asked for. */
+  /** Returns the bound address, with the assigned port if port 0 was requested. */
   public InetSocketAddress address() {
     return (InetSocketAddress) undertow.getListenerInfo().get(0).getAddress();
   }
 
   /**
-   * Takes no more connections. Those that are open stay, as long as the worker of the port runs; a
-   * second call does nothing.
+   * Stops accepting connections. Open connections stay open while the worker of the port runs.
+   * Further calls have no effect.
    */
   @Override
   public synchronized void close() {
--- a/alderyard-common/src/main/java/org/alderyard/common/http/Json.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/http/Json.java
@@ -13,7 +13,7 @@
 import org.alderyard.common.error.ErrorCode;
 import org.alderyard.common.error.FieldFault;
 
-/** JSON objects as bodies; a body that is none is a typed error. */
+/** Reads and writes JSON objects as request and response bodies. */
 public final class Json {
   private static final ObjectMapper MAPPER =
       JsonMapper.builder()
@@ -23,12 +23,16 @@
 
   private Json() {}
 
-  /** Returns an empty object. */
+  /** Returns a new, empty JSON object. */
   public static ObjectNode object() {
     return MAPPER.createObjectNode();
   }
 
-  /** Reads an object. */
+  /**
+   * Parses a body that must be a JSON object.
+   *
+   * @throws AlderyardException with {@code MALFORMED_JSON} if the body is not a JSON object
+   */
   public static JsonNode parseObject(byte[] body) {
     JsonNode node;
     try {
@@ -52,21 +56,22 @@
     return node;
   }
 
-  /** Returns the bytes of a value. */
+  /** Returns the UTF-8 encoding of a value. */
   public static byte[] bytes(JsonNode node) {
     try {
       return MAPPER.writeValueAsBytes(node);
     } catch (JsonProcessingException impossible) {
-      throw AlderyardException.unknown(ErrorCode.INTERNAL, "a value has no JSON", impossible);
+      throw AlderyardException.unknown(
+          ErrorCode.INTERNAL, "a value can't be written as JSON", impossible);
     }
   }
 
-  /** Returns the text of a value over several lines, for people. */
+  /** Returns the indented text of a value, for display. */
   public static String pretty(JsonNode node) {
     return node.toPrettyString();
   }
 
-  /** Returns the body that tells a caller of a failure. */
+  /** Returns the response body that describes a failure. */
   public static ObjectNode error(AlderyardException failure) {
     ObjectNode body = object();
     ObjectNode error = body.putObject("error");
--- a/alderyard-common/src/main/java/org/alderyard/common/http/JsonExchange.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/http/JsonExchange.java
@@ -14,36 +14,43 @@
 import org.alderyard.common.error.AlderyardException;
 import org.alderyard.common.error.ErrorCode;
 
-/** Receives a JSON body, and sends a JSON answer or a typed error. */
+/** Receives request bodies and sends JSON responses and typed errors. */
 public final class JsonExchange {
   private static final HttpString RETRY_AFTER = new HttpString("Retry-After");
   private static final long MILLIS_PER_SECOND = 1000;
 
   private JsonExchange() {}
 
-  /** Reads the whole body, and answers with what the handler's future gives. */
+  /**
+   * Reads the whole body, passes it to the handler and responds with the result of the handler's
+   * future.
+   */
   public static void handle(
       HttpServerExchange exchange, Function<byte[], CompletableFuture<JsonNode>> handler) {
     exchange
         .getRequestReceiver()
         .receiveFullBytes(
-            (ex, body) -> ex.dispatch(SameThreadExecutor.INSTANCE, () -> answer(ex, body, handler)),
-            (ex, broken) -> sendError(ex, bodyFault(broken)));
+            (httpExchange, body) ->
+                httpExchange.dispatch(
+                    SameThreadExecutor.INSTANCE, () -> respond(httpExchange, body, handler)),
+            (httpExchange, receiveFailure) -> sendError(httpExchange, bodyFault(receiveFailure)));
   }
 
   /**
-   * Returns the error of a body that did not come whole: its sender's if it is too large, else the
-   * way's, so that it is sent again.
+   * Returns the error of a body that was not received completely. A body that is too large is the
+   * sender's fault; any other failure is treated as a network fault, so that the request is
+   * retried.
    */
-  public static AlderyardException bodyFault(IOException broken) {
-    if (broken instanceof RequestTooBigException) {
+  public static AlderyardException bodyFault(IOException receiveFailure) {
+    if (receiveFailure instanceof RequestTooBigException) {
       return AlderyardException.notRun(ErrorCode.REQUEST_TOO_LARGE, "the body is too large");
     }
     return AlderyardException.notRun(
-        ErrorCode.REQUEST_BROKEN_OFF, "the body did not arrive whole: " + broken.getMessage());
+        ErrorCode.REQUEST_BROKEN_OFF,
+        "the body was not received completely: " + receiveFailure.getMessage());
   }
 
-  private static void answer(
+  private static void respond(
       HttpServerExchange exchange,
       byte[] body,
       Function<byte[], CompletableFuture<JsonNode>> handler) {
@@ -63,14 +70,17 @@
         });
   }
 
-  /** Sends a JSON answer. */
+  /** Sends a JSON response. */
   public static void send(HttpServerExchange exchange, int status, JsonNode body) {
     exchange.setStatusCode(status);
     exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
     exchange.getResponseSender().send(ByteBuffer.wrap(Json.bytes(body)));
   }
 
-  /** Sends a typed error. */
+  /**
+   * Sends the response for a typed error, with a {@code Retry-After} header if the retry delay is
+   * known.
+   */
   public static void sendError(HttpServerExchange exchange, AlderyardException failure) {
     failure
         .retryAfterMillis()
--- a/alderyard-common/src/main/java/org/alderyard/common/http/MetricsHandler.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/http/MetricsHandler.java
@@ -11,12 +11,12 @@
 import java.nio.ByteBuffer;
 import java.util.Objects;
 
-/** Answers with all metrics of a registry, in the text format of Prometheus. */
+/** Serves all metrics of a registry in the Prometheus text format. */
 public final class MetricsHandler implements HttpHandler {
   private final PrometheusRegistry registry;
   private final PrometheusTextFormatWriter writer = PrometheusTextFormatWriter.create();
 
-  /** Serves the given registry. */
+  /** Creates a handler for the given registry. */
   public MetricsHandler(PrometheusRegistry registry) {
     this.registry = Objects.requireNonNull(registry);
   }
--- a/alderyard-common/src/main/java/org/alderyard/common/http/package-info.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/http/package-info.java
@@ -1,2 +1,2 @@
-/** What the HTTP ports of the system share: limits, JSON bodies and typed errors. */
+/** Limits, JSON bodies and typed errors of the HTTP ports. */
 package org.alderyard.common.http;
--- a/alderyard-common/src/main/java/org/alderyard/common/id/CallerId.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/id/CallerId.java
@@ -1,15 +1,15 @@
 package org.alderyard.common.id;
 
 /**
- * The name of a caller, the scope of its request ids.
+ * The name of a caller, which is the scope of its request IDs.
  *
  * @param value the name, 1 to 128 characters of {@code [A-Za-z0-9._:-]}
  */
 public record CallerId(String value) implements Comparable<CallerId> {
 
-  /** Checks the name. */
+  /** Validates the name. */
   public CallerId {
-    Names.check("callerId", value);
+    Names.validate("callerId", value);
   }
 
   @Override
--- a/alderyard-common/src/main/java/org/alderyard/common/id/GroupId.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/id/GroupId.java
@@ -7,9 +7,9 @@
  */
 public record GroupId(String value) implements Comparable<GroupId> {
 
-  /** Checks the name. */
+  /** Validates the name. */
   public GroupId {
-    Names.check("group", value);
+    Names.validate("group", value);
   }
 
   @Override
--- a/alderyard-common/src/main/java/org/alderyard/common/id/HostId.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/id/HostId.java
@@ -7,9 +7,9 @@
  */
 public record HostId(String value) implements Comparable<HostId> {
 
-  /** Checks the name. */
+  /** Validates the name. */
   public HostId {
-    Names.check("host", value);
+    Names.validate("host", value);
   }
 
   @Override
--- a/alderyard-common/src/main/java/org/alderyard/common/id/Names.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/id/Names.java
@@ -4,13 +4,13 @@
 import org.alderyard.common.error.AlderyardException;
 import org.alderyard.common.error.ErrorCode;
 
-/** The rule that all names follow. */
+/** Validates the names of callers, groups, hosts, pools, requests, servers and zones. */
 final class Names {
   private static final Pattern ACCEPTED = Pattern.compile("[A-Za-z0-9._:-]{1,128}");
 
   private Names() {}
 
-  static void check(String kind, String value) {
+  static void validate(String kind, String value) {
     if (value == null || !ACCEPTED.matcher(value).matches()) {
       throw AlderyardException.notRun(
           ErrorCode.BAD_REQUEST,
--- a/alderyard-common/src/main/java/org/alderyard/common/id/PoolName.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/id/PoolName.java
@@ -1,15 +1,15 @@
 package org.alderyard.common.id;
 
 /**
- * The name of a pool, which callers address.
+ * The name of a pool, by which callers address it.
  *
  * @param value the name, 1 to 128 characters of {@code [A-Za-z0-9._:-]}
  */
 public record PoolName(String value) implements Comparable<PoolName> {
 
-  /** Checks the name. */
+  /** Validates the name. */
   public PoolName {
-    Names.check("pool", value);
+    Names.validate("pool", value);
   }
 
   @Override
--- a/alderyard-common/src/main/java/org/alderyard/common/id/Position.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/id/Position.java
@@ -3,13 +3,13 @@
 import java.util.Comparator;
 
 /**
- * A place in the log of a database group.
+ * A position in the log of a database group.
  *
  * @param term the term in which the entry was written
- * @param index the number of the entry in the log, from 1; 0 is the empty log
+ * @param index the index of the entry in the log, from 1; 0 stands for the empty log
  */
 public record Position(long term, long index) implements Comparable<Position> {
-  /** The place before the first entry. */
+  /** The position before the first entry. */
   public static final Position NONE = new Position(0, 0);
 
   private static final Comparator<Position> ORDER =
--- a/alderyard-common/src/main/java/org/alderyard/common/id/RendezvousScores.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/id/RendezvousScores.java
@@ -7,21 +7,21 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * The scores of hosts for a group in a rendezvous hash: every host computes the same ones, and few
- * choices move when a host comes or goes. Safe for several threads.
+ * Computes the rendezvous hash scores of hosts for database groups. All hosts compute the same
+ * scores, and adding or removing a host changes few assignments. Thread-safe.
  */
 public final class RendezvousScores {
   private final Map<HostId, Long> hostHashes = new ConcurrentHashMap<>();
 
-  /** Returns what a group counts with in {@link #score}. */
+  /** Returns the hash of a group, for {@link #score}. */
   public static long groupHash(GroupId group) {
     return hash(group.value().getBytes(StandardCharsets.UTF_8));
   }
 
   /**
-   * Returns the score of a host; the highest one is chosen first.
+   * Returns the score of a host for a group; the host with the highest score is preferred.
    *
-   * @param groupHash what {@link #groupHash} returned
+   * @param groupHash the hash of the group from {@link #groupHash}
    */
   public long score(long groupHash, HostId host) {
     long hostHash =
--- a/alderyard-common/src/main/java/org/alderyard/common/id/RequestId.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/id/RequestId.java
@@ -1,15 +1,15 @@
 package org.alderyard.common.id;
 
 /**
- * The name that a caller gives to a request so that a resend can be told from a new one.
+ * The name that a caller gives to a request, which distinguishes a resend from a new request.
  *
  * @param value the name, 1 to 128 characters of {@code [A-Za-z0-9._:-]}
  */
 public record RequestId(String value) implements Comparable<RequestId> {
 
-  /** Checks the name. */
+  /** Validates the name. */
   public RequestId {
-    Names.check("requestId", value);
+    Names.validate("requestId", value);
   }
 
   @Override
--- a/alderyard-common/src/main/java/org/alderyard/common/id/ServerId.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/id/ServerId.java
@@ -7,9 +7,9 @@
  */
 public record ServerId(String value) implements Comparable<ServerId> {
 
-  /** Checks the name. */
+  /** Validates the name. */
   public ServerId {
-    Names.check("server", value);
+    Names.validate("server", value);
   }
 
   @Override
--- a/alderyard-common/src/main/java/org/alderyard/common/id/ZoneName.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/id/ZoneName.java
@@ -7,9 +7,9 @@
  */
 public record ZoneName(String value) implements Comparable<ZoneName> {
 
-  /** Checks the name. */
+  /** Validates the name. */
   public ZoneName {
-    Names.check("zone", value);
+    Names.validate("zone", value);
   }
 
   @Override
--- a/alderyard-common/src/main/java/org/alderyard/common/id/package-info.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/id/package-info.java
@@ -1,8 +1,9 @@
 /**
- * Typed names and positions that the whole system shares.
+ * Typed names and log positions.
  *
- * <p>They write {@code equals}, {@code hashCode} and {@code toString} out. A record links those of
- * its own at first use; for the first record that costs a host which has just started some tens of
- * milliseconds, and several more for each further one, while callers wait for its first view.
+ * <p>The records declare {@code equals}, {@code hashCode} and {@code toString} explicitly. The
+ * generated methods of a record are linked at their first use: for the first record this takes a
+ * newly started host some tens of milliseconds, and several more for each further record, while
+ * callers wait for the first view of the host.
  */
 package org.alderyard.common.id;
--- a/alderyard-common/src/main/java/org/alderyard/common/log/DependencyLog.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/log/DependencyLog.java
@@ -5,10 +5,10 @@
 import org.slf4j.Logger;
 
 /**
- * Logs when something that this process depends on is lost and when it is back, and nothing in
- * between: one line for each, however often it was tried.
+ * Logs the loss and the recovery of a dependency of this process, with one line each, however many
+ * attempts fail in between.
  *
- * <p>Lock: the object itself, a leaf.
+ * <p>Locking: guarded by the object itself; no other lock is acquired while it is held.
  */
 public final class DependencyLog {
   private final Logger log;
@@ -16,14 +16,15 @@
   // Guarded by this.
   private long failures;
 
-  /** Logs through the given logger, under the given name of the dependency. */
+  /** Creates a log for the dependency with the given name. */
   public DependencyLog(Logger log, String dependency) {
     this.log = Objects.requireNonNull(log);
     this.dependency = Objects.requireNonNull(dependency);
   }
 
   /**
-   * A try failed; the line has the whole story of the first one, which hosts were tried and why.
+   * Records a failed attempt. Only the first failure is logged, with its full message: the hosts
+   * that were tried and the reason of each failure.
    */
   public void failed(AlderyardException failure) {
     boolean first;
@@ -40,15 +41,15 @@
     }
   }
 
-  /** A try worked. */
+  /** Records a successful attempt and logs the recovery if attempts had failed before. */
   public void worked() {
-    long before;
+    long previousFailures;
     synchronized (this) {
-      before = failures;
+      previousFailures = failures;
       failures = 0;
     }
-    if (before > 0) {
-      log.info("event=dependency-regained dependency={} failures={}", dependency, before);
+    if (previousFailures > 0) {
+      log.info("event=dependency-regained dependency={} failures={}", dependency, previousFailures);
     }
   }
 }
--- a/alderyard-common/src/main/java/org/alderyard/common/log/package-info.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/log/package-info.java
@@ -1,2 +1,2 @@
-/** Helpers for log lines whose number must not grow with a fault. */
+/** Helpers that keep the number of log lines independent of the duration of a fault. */
 package org.alderyard.common.log;
--- a/alderyard-common/src/main/java/org/alderyard/common/package-info.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/package-info.java
@@ -1,2 +1,2 @@
-/** Ids, errors, settings, time, and the view of control state. */
+/** IDs, errors, settings, clocks and the view of the control state. */
 package org.alderyard.common;
--- a/alderyard-common/src/main/java/org/alderyard/common/settings/Secret.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/settings/Secret.java
@@ -3,13 +3,13 @@
 import java.util.Objects;
 
 /**
- * A secret that a key file holds; its text form hides it, so that it reaches no log by accident.
+ * A secret from a key file. Its text form hides the value, so that it can't be logged by accident.
  *
  * @param value the secret itself
  */
 public record Secret(String value) {
 
-  /** Checks. */
+  /** Checks that no component is null. */
   public Secret {
     Objects.requireNonNull(value);
   }
--- a/alderyard-common/src/main/java/org/alderyard/common/settings/Setting.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/settings/Setting.java
@@ -4,16 +4,15 @@
 import java.util.Optional;
 
 /**
- * One setting: where it stands, what it accepts and what holds without it.
+ * The definition of one setting: its location, the accepted values and the default value.
  *
  * @param section the section of the INI file
  * @param key the key in the section
- * @param type what values are accepted
- * @param preset the text that holds when the file gives none; empty when the setting is required or
- *     optional
- * @param required whether a file without it is refused
- * @param description what it does, with its unit
- * @param <T> the type of its value
+ * @param type the accepted values
+ * @param preset the text of the default value; empty if the setting is required or optional
+ * @param required whether a file without this setting is refused
+ * @param description the effect of the setting, with its unit
+ * @param <T> the type of the value
  */
 public record Setting<T>(
     String section,
@@ -23,7 +22,7 @@
     boolean required,
     String description) {
 
-  /** Checks. */
+  /** Checks that no component is null. */
   public Setting {
     Objects.requireNonNull(section);
     Objects.requireNonNull(key);
@@ -32,25 +31,25 @@
     Objects.requireNonNull(description);
   }
 
-  /** Returns a setting that a file must give. */
+  /** Returns a setting that every file must contain. */
   public static <T> Setting<T> required(
       String section, String key, SettingType<T> type, String description) {
     return new Setting<>(section, key, type, Optional.empty(), true, description);
   }
 
-  /** Returns a setting that a file may leave out, and that has no value then. */
+  /** Returns a setting that a file may omit and that has no default value. */
   public static <T> Setting<T> optional(
       String section, String key, SettingType<T> type, String description) {
     return new Setting<>(section, key, type, Optional.empty(), false, description);
   }
 
-  /** Returns a setting that a file may leave out, with the value that holds then. */
+  /** Returns a setting that a file may omit, with its default value. */
   public static <T> Setting<T> preset(
       String section, String key, SettingType<T> type, String preset, String description) {
     return new Setting<>(section, key, type, Optional.of(preset), false, description);
   }
 
-  /** Returns the section and key, as messages name the setting. */
+  /** Returns the section and key in the form used by messages. */
   public String name() {
     return "[" + section + "] " + key;
   }
--- a/alderyard-common/src/main/java/org/alderyard/common/settings/SettingTypes.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/settings/SettingTypes.java
@@ -21,7 +21,7 @@
 /** The types of settings. */
 public final class SettingTypes {
   private static final Pattern QUANTITY = Pattern.compile("(\\d{1,15})\\s*([A-Za-z]+)");
-  private static final Pattern IP_NUMBER = Pattern.compile("[0-9.]+|[0-9A-Fa-f:]+");
+  private static final Pattern IP_ADDRESS = Pattern.compile("[0-9.]+|[0-9A-Fa-f:]+");
   private static final int MAX_PORT = 65_535;
   private static final Map<String, Long> NANOS_PER_UNIT =
       Map.of(
@@ -35,22 +35,22 @@
 
   private SettingTypes() {}
 
-  /** Returns a type of whole numbers in a range. */
+  /** Returns a type of whole numbers from {@code min} to {@code max}, both inclusive. */
   public static SettingType<Integer> integer(int min, int max) {
     return new SettingType<>(
         "a whole number from " + min + " to " + max,
-        text -> number(text).filter(n -> n >= min && n <= max).map(Long::intValue));
+        text -> wholeNumber(text).filter(n -> n >= min && n <= max).map(Long::intValue));
   }
 
-  private static Optional<Long> number(String text) {
+  private static Optional<Long> wholeNumber(String text) {
     try {
       return Optional.of(Long.parseLong(text));
-    } catch (NumberFormatException notNumber) {
+    } catch (NumberFormatException invalidNumber) {
       return Optional.empty();
     }
   }
 
-  /** Returns the type of what is true or false. */
+  /** Returns the type of a boolean, written as {@code true} or {@code false}. */
   public static SettingType<Boolean> flag() {
     return new SettingType<>(
         "true or false",
@@ -62,21 +62,24 @@
             });
   }
 
-  /** Returns a type of durations in a range, written with their unit. */
+  /** Returns a type of durations with a unit, from {@code min} to {@code max}, both inclusive. */
   public static SettingType<Duration> duration(Duration min, Duration max) {
     return new SettingType<>(
-        "a duration with its unit (us, ms, s, min, h) from " + text(min) + " to " + text(max),
+        "a duration with its unit (us, ms, s, min, h) from "
+            + formatMillis(min)
+            + " to "
+            + formatMillis(max),
         text ->
             quantity(text, NANOS_PER_UNIT)
                 .map(Duration::ofNanos)
                 .filter(d -> d.compareTo(min) >= 0 && d.compareTo(max) <= 0));
   }
 
-  private static String text(Duration duration) {
+  private static String formatMillis(Duration duration) {
     return duration.toMillis() + "ms";
   }
 
-  /** Returns a type of sizes in a range, written with their unit. */
+  /** Returns a type of sizes with a unit, from {@code min} to {@code max} bytes, both inclusive. */
   public static SettingType<Long> bytes(long min, long max) {
     return new SettingType<>(
         "a size with its unit (B, KiB, MiB, GiB) from " + min + "B to " + max + "B",
@@ -99,9 +102,10 @@
     }
   }
 
-  /** Returns the type of an IP number with a port. */
+  /** Returns the type of an IP address with a port. */
   public static SettingType<InetSocketAddress> address() {
-    return new SettingType<>("an IP number with a port, as 10.0.0.1:7000", SettingTypes::address);
+    return new SettingType<>(
+        "an IP number with a port, such as 10.0.0.1:7000", SettingTypes::address);
   }
 
   private static Optional<InetSocketAddress> address(String text) {
@@ -110,19 +114,20 @@
       return Optional.empty();
     }
     String host = text.substring(0, colon).replaceAll("^\\[|]$", "");
-    Optional<Long> port = number(text.substring(colon + 1)).filter(n -> n >= 0 && n <= MAX_PORT);
-    if (port.isEmpty() || !IP_NUMBER.matcher(host).matches()) {
+    Optional<Long> port =
+        wholeNumber(text.substring(colon + 1)).filter(n -> n >= 0 && n <= MAX_PORT);
+    if (port.isEmpty() || !IP_ADDRESS.matcher(host).matches()) {
       return Optional.empty();
     }
     try {
-      // The pattern lets IP numbers pass only, so no name is looked up here.
+      // The pattern accepts IP addresses only, so getByName does not query DNS.
       return Optional.of(new InetSocketAddress(InetAddress.getByName(host), port.get().intValue()));
-    } catch (UnknownHostException notIpNumber) {
+    } catch (UnknownHostException invalidAddress) {
       return Optional.empty();
     }
   }
 
-  /** Returns the type of a list of values of another type, separated by commas. */
+  /** Returns the type of a comma-separated list of values of another type. */
   public static <T> SettingType<List<T>> list(SettingType<T> element) {
     return new SettingType<>(
         "a list, separated by commas, of: " + element.accepted(),
@@ -139,36 +144,37 @@
         });
   }
 
-  /** Returns a type of one of some words. */
-  public static <E extends Enum<E>> SettingType<E> word(Class<E> words) {
-    List<String> names = Arrays.stream(words.getEnumConstants()).map(SettingTypes::wordOf).toList();
+  /** Returns the type of an enum constant, written in lower case with hyphens. */
+  public static <E extends Enum<E>> SettingType<E> word(Class<E> enumType) {
+    List<String> names =
+        Arrays.stream(enumType.getEnumConstants()).map(SettingTypes::settingText).toList();
     return new SettingType<>(
         "one of " + String.join(", ", names),
         text ->
-            Arrays.stream(words.getEnumConstants())
-                .filter(constant -> wordOf(constant).equals(text))
+            Arrays.stream(enumType.getEnumConstants())
+                .filter(constant -> settingText(constant).equals(text))
                 .findFirst());
   }
 
-  /** Returns a type of a set of some words, separated by commas. */
-  public static <E extends Enum<E>> SettingType<Set<E>> words(Class<E> words) {
-    SettingType<List<E>> list = list(word(words));
+  /** Returns the type of a comma-separated set of enum constants. */
+  public static <E extends Enum<E>> SettingType<Set<E>> words(Class<E> enumType) {
+    SettingType<List<E>> list = list(word(enumType));
     return new SettingType<>(
         list.accepted(),
         text -> list.parse(text).map(values -> Set.copyOf(new LinkedHashSet<>(values))));
   }
 
-  private static String wordOf(Enum<?> constant) {
+  private static String settingText(Enum<?> constant) {
     return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 
-  /** Returns the type of a path. */
+  /** Returns the type of a path, which must not be empty. */
   public static SettingType<Path> path() {
     return new SettingType<>(
         "a path", text -> text.isEmpty() ? Optional.empty() : Optional.of(Path.of(text)));
   }
 
-  /** Returns the type of a name, with its own rule. */
+  /** Returns the type of a name that the given constructor validates. */
   public static <T> SettingType<T> name(Function<String, T> constructor) {
     return new SettingType<>(
         "1 to 128 characters of [A-Za-z0-9._:-]",
--- a/alderyard-common/src/main/java/org/alderyard/common/settings/Settings.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/settings/Settings.java
@@ -5,10 +5,11 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The checked values of one file. */
+/** The validated values of one settings file. */
 public final class Settings {
   private final Path file;
-  // By identity: settings are constants, and their comparison as records costs part of each start.
+  // Keyed by identity: settings are constants, and comparing them as records would slow down each
+  // start.
   private final Map<Setting<?>, Object> values;
 
   Settings(Path file, Map<Setting<?>, Object> values) {
@@ -16,12 +17,16 @@
     this.values = new IdentityHashMap<>(values);
   }
 
-  /** Returns the file that the values come from. */
+  /** Returns the file from which the values were read. */
   public Path file() {
     return file;
   }
 
-  /** Returns the value of a setting that is required or has a preset. */
+  /**
+   * Returns the value of a setting that is required or has a default value.
+   *
+   * @throws IllegalStateException if the setting has no value
+   */
   public <T> T get(Setting<T> setting) {
     return find(setting)
         .orElseThrow(() -> new IllegalStateException("no value for " + setting.name()));
@@ -33,7 +38,10 @@
     return Optional.ofNullable((T) values.get(setting));
   }
 
-  /** Returns a path, if there is one; a relative path starts at the folder of the file. */
+  /**
+   * Returns the value of a path setting, if there is one; relative paths are resolved against the
+   * folder of the settings file.
+   */
   public Optional<Path> findPath(Setting<Path> setting) {
     return find(setting).map(path -> file.toAbsolutePath().resolveSibling(path).normalize());
   }
--- a/alderyard-common/src/main/java/org/alderyard/common/settings/SettingsException.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/settings/SettingsException.java
@@ -6,7 +6,10 @@
 import org.alderyard.common.error.ErrorCode;
 import org.alderyard.common.error.Outcome;
 
-/** A settings file can't be used; the message names the place, the value and what is accepted. */
+/**
+ * Indicates that a settings file can't be used; the message names the location, the value and the
+ * accepted values.
+ */
 public class SettingsException extends AlderyardException {
   private static final long serialVersionUID = 1L;
 
@@ -14,7 +17,7 @@
   private final String section;
   private final String key;
 
-  /** Creates an error about one key; section and key may be empty when the file itself is bad. */
+  /** Creates an error about one key; section and key are empty if the file itself is invalid. */
   public SettingsException(Path file, String section, String key, String problem) {
     super(ErrorCode.SETTINGS_INVALID, Outcome.NOT_RUN, message(file, section, key, problem));
     this.file = Objects.requireNonNull(file);
@@ -33,17 +36,17 @@
     return text.append(": ").append(problem).toString();
   }
 
-  /** Returns the file. */
+  /** Returns the settings file that was read. */
   public Path file() {
     return file;
   }
 
-  /** Returns the section, empty when the file itself is at fault. */
+  /** Returns the section; empty if the file itself is invalid. */
   public String section() {
     return section;
   }
 
-  /** Returns the key, empty when a whole section is at fault. */
+  /** Returns the key; empty if the whole section or the file is invalid. */
   public String key() {
     return key;
   }
--- a/alderyard-common/src/main/java/org/alderyard/common/settings/SettingsReader.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/settings/SettingsReader.java
@@ -14,11 +14,11 @@
 import org.apache.commons.configuration2.ex.ConfigurationException;
 import org.apache.commons.configuration2.tree.ImmutableNode;
 
-/** Reads an INI file against a specification; the first fault is a typed error. */
+/** Reads and validates INI files according to a specification; reading stops at the first error. */
 public final class SettingsReader {
   private final SettingsSpec spec;
 
-  /** Creates a reader for files of this specification. */
+  /** Creates a reader for files of the given specification. */
   public SettingsReader(SettingsSpec spec) {
     this.spec = spec;
   }
@@ -26,14 +26,14 @@
   /**
    * Reads a file.
    *
-   * @throws SettingsException when the file can't be read or a value is not accepted
+   * @throws SettingsException if the file can't be read or a value is not accepted
    */
   public Settings read(Path file) {
-    Map<String, List<String>> given = given(file, load(file));
+    Map<String, List<String>> textsByName = textsByName(file, load(file));
     Map<Setting<?>, Object> values = new IdentityHashMap<>();
     for (Setting<?> setting : spec.settings()) {
-      List<String> texts = given.getOrDefault(setting.name(), List.of());
-      value(file, texts, setting).ifPresent(value -> values.put(setting, value));
+      List<String> texts = textsByName.getOrDefault(setting.name(), List.of());
+      parseValue(file, texts, setting).ifPresent(value -> values.put(setting, value));
     }
     return new Settings(file, values);
   }
@@ -53,15 +53,15 @@
   /**
    * Returns the texts of each setting by its name.
    *
-   * <p>The nodes are walked as they are: the library's views of sections cost each start a tenth of
-   * its processor time.
+   * <p>Iterates over the nodes directly: the section views of the library take a tenth of the
+   * processor time of each start.
    */
-  private Map<String, List<String>> given(Path file, INIConfiguration ini) {
-    Map<String, List<String>> given = new HashMap<>();
+  private Map<String, List<String>> textsByName(Path file, INIConfiguration ini) {
+    Map<String, List<String>> textsByName = new HashMap<>();
     for (ImmutableNode section : ini.getNodeModel().getInMemoryRepresentation()) {
       if (section.getValue() != null) {
         throw new SettingsException(
-            file, "", "", "a key stands before the first section; accepted: " + spec.sections());
+            file, "", "", "a key precedes the first section; accepted: " + spec.sections());
       }
       String name = section.getNodeName();
       if (!spec.hasSection(name)) {
@@ -71,26 +71,26 @@
       for (ImmutableNode key : section) {
         Setting<?> setting =
             spec.find(name, key.getNodeName())
-                .orElseThrow(() -> unknown(file, name, key.getNodeName()));
-        given
-            .computeIfAbsent(setting.name(), first -> new ArrayList<>())
+                .orElseThrow(() -> unknownKey(file, name, key.getNodeName()));
+        textsByName
+            .computeIfAbsent(setting.name(), settingName -> new ArrayList<>())
             .add(String.valueOf(key.getValue()));
       }
     }
-    return given;
+    return textsByName;
   }
 
-  private SettingsException unknown(Path file, String section, String key) {
+  private SettingsException unknownKey(Path file, String section, String key) {
     return new SettingsException(
         file, section, key, "the key is unknown; accepted: " + spec.keys(section));
   }
 
-  private static <T> Optional<T> value(Path file, List<String> given, Setting<T> setting) {
-    if (given.size() > 1) {
+  private static <T> Optional<T> parseValue(Path file, List<String> texts, Setting<T> setting) {
+    if (texts.size() > 1) {
       throw new SettingsException(
-          file, setting.section(), setting.key(), "the key is given " + given.size() + " times");
+          file, setting.section(), setting.key(), "the key is given " + texts.size() + " times");
     }
-    Optional<String> text = given.isEmpty() ? setting.preset() : Optional.of(given.get(0).trim());
+    Optional<String> text = texts.isEmpty() ? setting.preset() : Optional.of(texts.get(0).trim());
     if (text.isEmpty()) {
       if (setting.required()) {
         throw new SettingsException(
--- a/alderyard-common/src/main/java/org/alderyard/common/settings/SettingsSpec.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/settings/SettingsSpec.java
@@ -5,22 +5,26 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** All settings that a file may give; it never changes once it is built. */
+/** The definitions of all settings that a file may contain; immutable. */
 public final class SettingsSpec {
   private final Map<String, Setting<?>> byName;
 
-  /** Collects settings; two of the same name are a programming error. */
+  /**
+   * Creates a specification.
+   *
+   * @throws IllegalArgumentException if two settings have the same name
+   */
   public SettingsSpec(List<Setting<?>> settings) {
     Map<String, Setting<?>> map = new LinkedHashMap<>();
     for (Setting<?> setting : settings) {
       if (map.put(setting.name(), setting) != null) {
-        throw new IllegalArgumentException("setting twice: " + setting.name());
+        throw new IllegalArgumentException("duplicate setting: " + setting.name());
       }
     }
     byName = map;
   }
 
-  /** Returns the settings in their order. */
+  /** Returns the settings in the order of their definition. */
   public List<Setting<?>> settings() {
     return List.copyOf(byName.values());
   }
--- a/alderyard-common/src/main/java/org/alderyard/common/settings/package-info.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/settings/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Checked settings: a specification of every setting, apart from the values that a file gives.
+ * Settings files: the specification of the accepted settings, and the validated values of a file.
  *
- * <p>{@link org.alderyard.common.settings.SettingsSpec} says what is accepted, {@link
- * org.alderyard.common.settings.SettingsReader} reads an INI file against it, and {@link
+ * <p>{@link org.alderyard.common.settings.SettingsSpec} defines the accepted settings, {@link
+ * org.alderyard.common.settings.SettingsReader} reads an INI file according to it, and {@link
  * org.alderyard.common.settings.Settings} holds the result.
  */
 package org.alderyard.common.settings;
--- a/alderyard-common/src/main/java/org/alderyard/common/time/Deadline.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/time/Deadline.java
@@ -3,23 +3,23 @@
 import java.time.Duration;
 
 /**
- * The moment at which someone stops waiting.
+ * The time at which a caller stops waiting for a result.
  *
- * @param endNanos the moment on a monotonic clock, in nanoseconds
+ * @param endNanos the time on a monotonic clock, in nanoseconds
  */
 public record Deadline(long endNanos) {
 
-  /** Returns the deadline that is a timeout away from now. */
+  /** Returns the deadline that ends after the given timeout, counted from now. */
   public static Deadline after(Duration timeout, MonotonicClock clock) {
     return new Deadline(clock.nowNanos() + timeout.toNanos());
   }
 
-  /** Returns the time that is left; zero once it is over. */
+  /** Returns the remaining time; zero once the deadline has passed. */
   public Duration remaining(MonotonicClock clock) {
     return Duration.ofNanos(Math.max(0, endNanos - clock.nowNanos()));
   }
 
-  /** Returns whether it is over. */
+  /** Returns whether the deadline has passed. */
   public boolean over(MonotonicClock clock) {
     return endNanos - clock.nowNanos() <= 0;
   }
--- a/alderyard-common/src/main/java/org/alderyard/common/time/MonotonicClock.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/time/MonotonicClock.java
@@ -2,11 +2,13 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** A clock for intervals: it never goes back and says nothing of the time of day. */
+/**
+ * A clock for measuring intervals. It never goes backward and is not related to the time of day.
+ */
 @FunctionalInterface
 public interface MonotonicClock {
 
-  /** Returns the clock of the runtime. */
+  /** Returns the clock based on {@link System#nanoTime}. */
   static MonotonicClock system() {
     return System::nanoTime;
   }
--- a/alderyard-common/src/main/java/org/alderyard/common/time/PausedClock.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/time/PausedClock.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** A clock that stands still until it is advanced, for tests and for models of time. */
+/** A clock that changes only when it is advanced, for tests and simulations. */
 public final class PausedClock implements MonotonicClock {
   private final AtomicLong nowNanos = new AtomicLong();
 
@@ -12,10 +12,14 @@
     return nowNanos.get();
   }
 
-  /** Moves the clock forward. */
+  /**
+   * Advances the clock.
+   *
+   * @throws IllegalArgumentException if the duration is negative
+   */
   public void advance(Duration duration) {
     if (duration.isNegative()) {
-      throw new IllegalArgumentException("a monotonic clock does not go back: " + duration);
+      throw new IllegalArgumentException("a monotonic clock can't go backward: " + duration);
     }
     nowNanos.addAndGet(duration.toNanos());
   }
--- a/alderyard-common/src/main/java/org/alderyard/common/time/package-info.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/time/package-info.java
@@ -1,2 +1,2 @@
-/** Time as the system sees it: a monotonic clock for intervals, which tests pause and advance. */
+/** A monotonic clock for intervals, which tests advance manually, and deadlines. */
 package org.alderyard.common.time;
--- a/alderyard-common/src/main/java/org/alderyard/common/view/Bytes.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/view/Bytes.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import java.util.HexFormat;
 
-/** Bytes that never change and are compared by their content. */
+/** An immutable byte array that is compared by its content. */
 public final class Bytes {
   private final byte[] content;
 
@@ -11,12 +11,12 @@
     this.content = content;
   }
 
-  /** Copies the given bytes. */
+  /** Returns a copy of the given array. */
   public static Bytes of(byte[] content) {
     return new Bytes(content.clone());
   }
 
-  /** Returns a copy. */
+  /** Returns a copy of the content. */
   public byte[] toArray() {
     return content.clone();
   }
--- a/alderyard-common/src/main/java/org/alderyard/common/view/ConfigurationState.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/view/ConfigurationState.java
@@ -10,15 +10,16 @@
 import org.alderyard.common.id.GroupId;
 
 /**
- * The configuration of sessions: operators replace it as a whole, and the highest number counts.
+ * The configuration of sessions. Operators replace it as a whole, and the highest number takes
+ * effect.
  *
- * @param number its number
+ * @param number the number of this configuration
  * @param databases the databases, in the operator's order
  * @param connectionsPerServer the connections that each server of a group accepts
- * @param transactionIdleMillis after which an idle transaction may be ended
- * @param sessionIdleMillis after which an idle session may be closed
- * @param source what the operator sent
- * @param contentHash equal for sources of the same meaning
+ * @param transactionIdleMillis the time after which an idle transaction may be ended
+ * @param sessionIdleMillis the time after which an idle session may be closed
+ * @param source the configuration as sent by the operator
+ * @param contentHash a hash that is equal for sources with the same meaning
  */
 public record ConfigurationState(
     long number,
@@ -30,22 +31,22 @@
     Bytes contentHash) {
 
   /**
-   * Copies. The groups are in order: what all control hosts derive from them must be the same, and
-   * the order of an unsorted map differs from process to process.
+   * Copies the collections. The groups are sorted because all control hosts must derive the same
+   * state from them, and the order of an unsorted map differs between processes.
    */
   public ConfigurationState {
     databases = List.copyOf(databases);
     connectionsPerServer = Collections.unmodifiableSortedMap(new TreeMap<>(connectionsPerServer));
   }
 
-  /** Returns the first database of each name. */
+  /** Returns the databases by name; of several entries with one name, the first one. */
   public Map<String, DatabaseState> byName() {
     Map<String, DatabaseState> index = new HashMap<>();
     databases.forEach(database -> index.putIfAbsent(database.name(), database));
     return index;
   }
 
-  /** Returns the database that sessions of this name use. */
+  /** Returns the database that sessions with this database name use. */
   public Optional<DatabaseState> database(String name) {
     return databases.stream().filter(database -> database.name().equals(name)).findFirst();
   }
--- a/alderyard-common/src/main/java/org/alderyard/common/view/DatabaseState.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/view/DatabaseState.java
@@ -6,14 +6,14 @@
 /**
  * A database on which callers open sessions.
  *
- * @param name the name that a session gives
- * @param scope tells entries of one name apart; a session uses the first of them
- * @param group the group that holds it
- * @param reads what reads must see
- * @param statementTimeoutMillis the longest time of one statement
- * @param latencyObjectiveMillis within which an operation should end
- * @param priority 0 is served first
- * @param maxStalenessMillis the age that reads accept, unless they must see everything
+ * @param name the name by which sessions select the database
+ * @param scope distinguishes entries with the same name; a session uses the first entry
+ * @param group the group that stores the database
+ * @param reads the consistency of reads
+ * @param statementTimeoutMillis the maximum time of one statement
+ * @param latencyObjectiveMillis the time in which an operation should complete
+ * @param priority the priority; 0 is served first
+ * @param maxStalenessMillis the age that reads accept, unless they must see all acknowledged writes
  */
 public record DatabaseState(
     String name,
@@ -25,7 +25,7 @@
     int priority,
     int maxStalenessMillis) {
 
-  /** Checks. */
+  /** Checks that no component is null. */
   public DatabaseState {
     Objects.requireNonNull(name);
     Objects.requireNonNull(scope);
--- a/alderyard-common/src/main/java/org/alderyard/common/view/GroupState.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/view/GroupState.java
@@ -8,14 +8,14 @@
 import org.alderyard.common.id.ServerId;
 
 /**
- * A database group: one primary and its replicas.
+ * A database group, which has one primary and its replicas.
  *
  * @param id the name
- * @param term the current term, 0 before the first primary
- * @param primary the primary of the term; empty while a failover runs
- * @param termHistory where the terms begin, oldest first
- * @param slotsPerServer the statements that a server runs at once
- * @param connectionsPerServer the connections that a server accepts
+ * @param term the current term; 0 before the first primary
+ * @param primary the primary of the term; empty during a failover
+ * @param termHistory the start of each term, oldest first
+ * @param slotsPerServer the number of statements that a server runs concurrently
+ * @param connectionsPerServer the number of connections that a server accepts
  */
 public record GroupState(
     GroupId id,
@@ -25,7 +25,7 @@
     int slotsPerServer,
     int connectionsPerServer) {
 
-  /** Checks and copies. */
+  /** Checks that no component is null and copies the list. */
   public GroupState {
     Objects.requireNonNull(id);
     Objects.requireNonNull(primary);
@@ -33,16 +33,17 @@
   }
 
   /**
-   * Returns whether an entry at this position was lost when a later term began.
+   * Returns whether the entry at this position was lost when a later term started.
    *
-   * <p>Either its index lies past the log of a later primary, or that log had missed its term: it
-   * may be longer, and yet hold other entries there.
+   * <p>An entry is lost if its index is past the end of the log of a later primary, or if that log
+   * has no entries of its term: such a log may be longer and still hold other entries at that
+   * index.
    */
   public boolean lost(Position position) {
-    return termHistory.stream().anyMatch(start -> cutsOff(start, position));
+    return termHistory.stream().anyMatch(start -> truncates(start, position));
   }
 
-  private static boolean cutsOff(TermStart start, Position position) {
+  private static boolean truncates(TermStart start, Position position) {
     if (start.term() <= position.term()) {
       return false;
     }
--- a/alderyard-common/src/main/java/org/alderyard/common/view/HostState.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/view/HostState.java
@@ -9,13 +9,13 @@
  * A host of the system.
  *
  * @param id the name
- * @param incarnation grows with each start of the process
- * @param zone its availability zone
- * @param innerAddress where it listens for the other hosts
- * @param callerAddress where it listens for callers
+ * @param incarnation a number that grows with each start of the process
+ * @param zone the availability zone
+ * @param innerAddress the address on which it listens for other hosts
+ * @param callerAddress the address on which it listens for callers
  * @param proxy whether it serves callers
- * @param control whether it is one of the hosts with a disk
- * @param draining whether it takes no new work
+ * @param control whether it is a control host, which has a disk
+ * @param draining whether it accepts no new work
  */
 public record HostState(
     HostId id,
@@ -27,7 +27,7 @@
     boolean control,
     boolean draining) {
 
-  /** Checks. */
+  /** Checks that no component is null. */
   public HostState {
     Objects.requireNonNull(id);
     Objects.requireNonNull(zone);
@@ -35,7 +35,7 @@
     Objects.requireNonNull(callerAddress);
   }
 
-  /** Returns whether it is a proxy that new work may be given to. */
+  /** Returns whether this host is a proxy that accepts new work. */
   public boolean takesWork() {
     return proxy && !draining;
   }
--- a/alderyard-common/src/main/java/org/alderyard/common/view/PoolState.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/view/PoolState.java
@@ -6,13 +6,14 @@
 import org.alderyard.common.id.PoolName;
 
 /**
- * A pool: the name that callers address, before the groups that hold its keys.
+ * A pool, by whose name callers address the groups that store its keys.
  *
  * @param name the name
- * @param groups the groups, in the order that maps keys to them
- * @param writeAcknowledgement when a write is acknowledged
- * @param maxStalenessMillis the age that a bounded read accepts when the caller names none
- * @param maxConcurrentStatements the most statements that one proxy runs at once; 0 for no limit
+ * @param groups the groups, in the order used to map keys to groups
+ * @param writeAcknowledgement the condition for acknowledging a write
+ * @param maxStalenessMillis the age that a bounded read accepts if the caller specifies none
+ * @param maxConcurrentStatements the maximum number of statements that one proxy runs concurrently;
+ *     0 for no limit
  */
 public record PoolState(
     PoolName name,
@@ -21,7 +22,7 @@
     long maxStalenessMillis,
     int maxConcurrentStatements) {
 
-  /** Checks and copies. */
+  /** Checks that no component is null and copies the list. */
   public PoolState {
     Objects.requireNonNull(name);
     Objects.requireNonNull(writeAcknowledgement);
--- a/alderyard-common/src/main/java/org/alderyard/common/view/ServerState.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/view/ServerState.java
@@ -7,14 +7,14 @@
 import org.alderyard.common.id.ZoneName;
 
 /**
- * A backend server as the registry knows it.
+ * A backend server as recorded in the registry.
  *
  * @param id the name
- * @param incarnation grows with each start of the server
- * @param group its group
- * @param zone its availability zone
- * @param address where it listens
- * @param status whether it gets new work
+ * @param incarnation a number that grows with each start of the server
+ * @param group the group of the server
+ * @param zone the availability zone
+ * @param address the address on which the server listens
+ * @param status whether the server receives new work
  */
 public record ServerState(
     ServerId id,
@@ -24,7 +24,7 @@
     InetSocketAddress address,
     ServerStatus status) {
 
-  /** Checks. */
+  /** Checks that no component is null. */
   public ServerState {
     Objects.requireNonNull(id);
     Objects.requireNonNull(group);
@@ -34,7 +34,8 @@
   }
 
   /**
-   * Written out as in {@link org.alderyard.common.id}: announcements are compared from the start.
+   * Declared explicitly for the reason given in {@link org.alderyard.common.id}: announcements are
+   * compared from the start of a host.
    */
   @Override
   public boolean equals(Object other) {
--- a/alderyard-common/src/main/java/org/alderyard/common/view/ServerStatus.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/view/ServerStatus.java
@@ -1,13 +1,13 @@
 package org.alderyard.common.view;
 
-/** Whether a backend server gets new work. */
+/** The status of a backend server, which decides whether it receives new work. */
 public enum ServerStatus {
-  /** It gets new work. */
+  /** The server receives new work. */
   ACTIVE,
-  /** It said that it leaves: no new work, what runs may end. */
+  /** The server announced that it leaves: it receives no new work, and running work may finish. */
   LEAVING,
-  /** Its lease ran out: no new work. */
+  /** The lease of the server expired: it receives no new work. */
   EXPIRED,
-  /** It said that it leaves, and has left; only another incarnation comes back. */
+  /** The server announced that it leaves and has left; only another incarnation can return. */
   GONE
 }
--- a/alderyard-common/src/main/java/org/alderyard/common/view/SessionReads.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/view/SessionReads.java
@@ -1,11 +1,11 @@
 package org.alderyard.common.view;
 
-/** What the reads of a database's sessions must see. */
+/** The consistency of the reads in a database's sessions. */
 public enum SessionReads {
-  /** Everything that was acknowledged. */
+  /** Reads see all acknowledged writes. */
   NEWEST,
-  /** Everything that was acknowledged longer ago than the database's bound. */
+  /** Reads see all writes that were acknowledged before the staleness bound of the database. */
   BOUNDED,
-  /** The same, and what the session itself wrote. */
+  /** Reads see what {@link #BOUNDED} reads see and the writes of their own session. */
   OWN_WRITES
 }
--- a/alderyard-common/src/main/java/org/alderyard/common/view/SigningKey.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/view/SigningKey.java
@@ -4,15 +4,19 @@
 import org.alderyard.common.error.AlderyardException;
 import org.alderyard.common.error.ErrorCode;
 
-/** A key that signs session tokens; its secret never shows in a log. */
+/** A key that signs session tokens; its text form hides the secret. */
 public final class SigningKey {
-  /** The shortest secret that is accepted, in bytes. */
+  /** The minimum length of a secret, in bytes. */
   public static final int MIN_SECRET_BYTES = 16;
 
   private final int id;
   private final byte[] secret;
 
-  /** Checks and copies the secret. */
+  /**
+   * Validates and copies the secret.
+   *
+   * @throws AlderyardException with {@code TICKET_INVALID} if the secret is too short
+   */
   public SigningKey(int id, byte[] secret) {
     if (secret.length < MIN_SECRET_BYTES) {
       throw AlderyardException.notRun(
@@ -23,7 +27,7 @@
     this.secret = secret.clone();
   }
 
-  /** Returns the number of the key, which tokens carry. */
+  /** Returns the ID of the key, which is part of each token. */
   public int id() {
     return id;
   }
--- a/alderyard-common/src/main/java/org/alderyard/common/view/View.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/view/View.java
@@ -16,7 +16,7 @@
 import org.alderyard.common.id.PoolName;
 import org.alderyard.common.id.ServerId;
 
-/** The control state at one version, as a host acts on it. */
+/** An immutable snapshot of the control state at one version. */
 public final class View {
   /** The view before the first ticket. */
   public static final View EMPTY =
@@ -31,7 +31,11 @@
   private final Map<GroupId, List<ServerState>> serversByGroup;
   private final Optional<ConfigurationState> configuration;
 
-  /** Copies the state; {@code keys} holds the signing key first. */
+  /**
+   * Copies the given state.
+   *
+   * @param keys the keys of session tokens, the signing key first
+   */
   public View(
       ViewVersion version,
       Map<PoolName, PoolState> pools,
@@ -88,9 +92,10 @@
   }
 
   /**
-   * Makes a view from another one; tables that do not change are shared between the two.
+   * Creates a view from another one. The two views share the tables that do not change.
    *
-   * <p>Most changes touch one table, and at 66,000 servers the copies would be most of the cost.
+   * <p>Most changes affect one table, and with 66,000 servers copying the tables would be most of
+   * the cost.
    */
   public static final class Editor {
     private final View base;
@@ -113,19 +118,19 @@
       configuration = base.configuration;
     }
 
-    /** Returns the pools, to be changed. */
+    /** Returns a modifiable map of the pools. */
     public Map<PoolName, PoolState> pools() {
       pools = pools == base.pools ? new TreeMap<>(base.pools) : pools;
       return pools;
     }
 
-    /** Returns the groups, to be changed. */
+    /** Returns a modifiable map of the groups. */
     public Map<GroupId, GroupState> groups() {
       groups = groups == base.groups ? new TreeMap<>(base.groups) : groups;
       return groups;
     }
 
-    /** Returns the hosts, to be changed. */
+    /** Returns a modifiable map of the hosts. */
     public Map<HostId, HostState> hosts() {
       hosts = hosts == base.hosts ? new TreeMap<>(base.hosts) : hosts;
       return hosts;
@@ -138,59 +143,59 @@
       serversByGroup.merge(
           server.group(),
           List.of(server),
-          (known, added) -> sorted(Stream.concat(known.stream(), added.stream()).toList()));
+          (existing, added) -> sorted(Stream.concat(existing.stream(), added.stream()).toList()));
     }
 
-    /** Removes a server. */
+    /** Removes a server, if it exists. */
     public void remove(ServerId id) {
       if (servers == base.servers) {
         servers = new TreeMap<>(base.servers);
         serversByGroup = new HashMap<>(base.serversByGroup);
       }
-      ServerState known = servers.remove(id);
-      if (known == null) {
+      ServerState removed = servers.remove(id);
+      if (removed == null) {
         return;
       }
-      List<ServerState> rest =
-          serversByGroup.get(known.group()).stream().filter(s -> !s.id().equals(id)).toList();
-      if (rest.isEmpty()) {
-        serversByGroup.remove(known.group());
+      List<ServerState> remaining =
+          serversByGroup.get(removed.group()).stream().filter(s -> !s.id().equals(id)).toList();
+      if (remaining.isEmpty()) {
+        serversByGroup.remove(removed.group());
       } else {
-        serversByGroup.put(known.group(), rest);
+        serversByGroup.put(removed.group(), remaining);
       }
     }
 
-    /** Replaces the keys of session tokens, the signing one first. */
-    public void keys(List<SigningKey> replaced) {
-      keys = List.copyOf(replaced);
+    /** Replaces the keys of session tokens, the signing key first. */
+    public void keys(List<SigningKey> newKeys) {
+      keys = List.copyOf(newKeys);
     }
 
     /** Replaces the configuration of sessions. */
-    public void configuration(ConfigurationState replaced) {
-      configuration = Optional.of(replaced);
+    public void configuration(ConfigurationState newConfiguration) {
+      configuration = Optional.of(newConfiguration);
     }
 
-    /** Returns the view; the editor is not used again. */
+    /** Returns the edited view. The editor must not be used afterwards. */
     public View at(ViewVersion version) {
       return new View(
           version,
-          frozen(pools, base.pools),
-          frozen(groups, base.groups),
-          frozen(servers, base.servers),
-          frozen(hosts, base.hosts),
+          unmodifiable(pools, base.pools),
+          unmodifiable(groups, base.groups),
+          unmodifiable(servers, base.servers),
+          unmodifiable(hosts, base.hosts),
           keys,
           serversByGroup,
           configuration);
     }
 
-    private static <K, V> SortedMap<K, V> frozen(Map<K, V> edited, SortedMap<K, V> before) {
-      return edited == before
-          ? before
+    private static <K, V> SortedMap<K, V> unmodifiable(Map<K, V> edited, SortedMap<K, V> original) {
+      return edited == original
+          ? original
           : Collections.unmodifiableSortedMap((SortedMap<K, V>) edited);
     }
   }
 
-  /** Returns the version. */
+  /** Returns the version of the control state. */
   public ViewVersion version() {
     return version;
   }
@@ -215,32 +220,32 @@
     return hosts;
   }
 
-  /** Returns the keys of session tokens, the signing one first. */
+  /** Returns the keys of session tokens, the signing key first. */
   public List<SigningKey> keys() {
     return keys;
   }
 
-  /** Returns the configuration of sessions, once there is one. */
+  /** Returns the configuration of sessions; empty before the first one is committed. */
   public Optional<ConfigurationState> configuration() {
     return configuration;
   }
 
-  /** Returns the pool of this name. */
+  /** Returns the pool with this name. */
   public Optional<PoolState> pool(PoolName name) {
     return Optional.ofNullable(pools.get(name));
   }
 
-  /** Returns the group of this name. */
+  /** Returns the group with this name. */
   public Optional<GroupState> group(GroupId id) {
     return Optional.ofNullable(groups.get(id));
   }
 
-  /** Returns the server of this name. */
+  /** Returns the server with this name. */
   public Optional<ServerState> server(ServerId id) {
     return Optional.ofNullable(servers.get(id));
   }
 
-  /** Returns the servers of a group, in the order of their names. */
+  /** Returns the servers of a group, sorted by name; empty if it has none. */
   public List<ServerState> serversOf(GroupId group) {
     return serversByGroup.getOrDefault(group, List.of());
   }
--- a/alderyard-common/src/main/java/org/alderyard/common/view/ViewVersion.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/view/ViewVersion.java
@@ -3,10 +3,10 @@
 import java.util.Comparator;
 
 /**
- * The version of a view; views only go forward.
+ * The version of a view. A host never replaces its view by an older one.
  *
- * @param epoch grows when the control state is rebuilt from another source
- * @param version the index of the last log entry that the view holds
+ * @param epoch a number that grows when the control state is rebuilt from another source
+ * @param version the index of the last log entry that the view contains
  */
 public record ViewVersion(long epoch, long version) implements Comparable<ViewVersion> {
   /** The version of the empty view. */
--- a/alderyard-common/src/main/java/org/alderyard/common/view/WriteAcknowledgement.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/view/WriteAcknowledgement.java
@@ -1,9 +1,9 @@
 package org.alderyard.common.view;
 
-/** When a write is acknowledged to the caller. */
+/** The condition under which a write is acknowledged to the caller. */
 public enum WriteAcknowledgement {
-  /** When a majority of the servers of the group hold it: no failover loses it. */
+  /** A majority of the servers of the group hold the write: no failover loses it. */
   MAJORITY,
-  /** When the primary holds it: a failover may lose it. */
+  /** The primary holds the write: a failover may lose it. */
   PRIMARY_ONLY
 }
--- a/alderyard-common/src/main/java/org/alderyard/common/view/package-info.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/view/package-info.java
@@ -1,2 +1,2 @@
-/** The view of control state that every host acts on: immutable and versioned. */
+/** The immutable, versioned view of the control state that every host acts on. */
 package org.alderyard.common.view;
--- a/alderyard-common/src/main/java/org/alderyard/common/watch/WatcherAssignment.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/watch/WatcherAssignment.java
@@ -14,44 +14,47 @@
 import org.alderyard.common.view.HostState;
 
 /**
- * Chooses the watchers of a group by rendezvous hash: the proxies with the highest scores, in
- * different availability zones as far as there are enough.
+ * Selects the watchers of a database group by rendezvous hashing: the proxies with the highest
+ * scores, in different availability zones if enough zones have proxies.
  *
- * <p>Watchers of one zone would all lose touch with a healthy primary when their zone is cut off,
- * and agree on replacing it.
+ * <p>If all watchers were in one zone, a network partition of that zone would cut all of them off
+ * from a healthy primary, and they would agree to replace it.
  */
 public final class WatcherAssignment {
-  /** How many hosts watch a group. */
+  /** The number of hosts that watch a group. */
   public static final int WATCHERS = 3;
 
-  private static final Comparator<Scored> BEST_FIRST =
-      Comparator.comparingLong(Scored::score)
+  private static final Comparator<ScoredHost> BY_DESCENDING_SCORE =
+      Comparator.comparingLong(ScoredHost::score)
           .reversed()
-          .thenComparing(scored -> scored.host().id());
+          .thenComparing(scoredHost -> scoredHost.host().id());
 
   private final RendezvousScores scores = new RendezvousScores();
 
-  private record Scored(HostState host, long score) {}
+  private record ScoredHost(HostState host, long score) {}
 
-  /** Returns the watchers of a group, best score first; fewer than three if there are fewer. */
+  /**
+   * Returns the watchers of a group by descending score; fewer than {@link #WATCHERS} if there are
+   * not enough proxies.
+   */
   public List<HostId> watchers(GroupId group, Collection<HostState> hosts) {
     long groupHash = RendezvousScores.groupHash(group);
-    List<Scored> scored =
+    List<ScoredHost> scoredHosts =
         hosts.stream()
             .filter(HostState::takesWork)
-            .map(host -> new Scored(host, scores.score(groupHash, host.id())))
-            .sorted(BEST_FIRST)
+            .map(host -> new ScoredHost(host, scores.score(groupHash, host.id())))
+            .sorted(BY_DESCENDING_SCORE)
             .toList();
     List<HostId> chosen = new ArrayList<>();
     Set<ZoneName> zones = new HashSet<>();
-    for (Scored next : scored) {
-      if (chosen.size() < WATCHERS && zones.add(next.host().zone())) {
-        chosen.add(next.host().id());
+    for (ScoredHost candidate : scoredHosts) {
+      if (chosen.size() < WATCHERS && zones.add(candidate.host().zone())) {
+        chosen.add(candidate.host().id());
       }
     }
-    for (Scored next : scored) {
-      if (chosen.size() < WATCHERS && !chosen.contains(next.host().id())) {
-        chosen.add(next.host().id());
+    for (ScoredHost candidate : scoredHosts) {
+      if (chosen.size() < WATCHERS && !chosen.contains(candidate.host().id())) {
+        chosen.add(candidate.host().id());
       }
     }
     return chosen;
@@ -60,8 +63,9 @@
   /**
    * Returns whether a host is a watcher of a group.
    *
-   * <p>In three zones or more, a host that is not the best of its own zone is none: with thousands
-   * of hosts a few comparisons tell, without the scores of all.
+   * <p>With three or more zones, a host that does not have the highest score of its own zone is no
+   * watcher. With thousands of hosts, this check usually needs a few comparisons and not the scores
+   * of all hosts.
    */
   public boolean watches(HostId host, GroupId group, Map<HostId, HostState> hosts) {
     HostState self = hosts.get(host);
@@ -69,20 +73,20 @@
       return false;
     }
     long groupHash = RendezvousScores.groupHash(group);
-    long own = scores.score(groupHash, host);
+    long ownScore = scores.score(groupHash, host);
     for (HostState other : hosts.values()) {
-      boolean better =
+      boolean higherInZone =
           other.zone().equals(self.zone())
               && other.takesWork()
-              && scores.score(groupHash, other.id()) > own;
-      if (better) {
-        return zones(hosts) < WATCHERS && watchers(group, hosts.values()).contains(host);
+              && scores.score(groupHash, other.id()) > ownScore;
+      if (higherInZone) {
+        return zoneCount(hosts) < WATCHERS && watchers(group, hosts.values()).contains(host);
       }
     }
     return watchers(group, hosts.values()).contains(host);
   }
 
-  private static long zones(Map<HostId, HostState> hosts) {
+  private static long zoneCount(Map<HostId, HostState> hosts) {
     return hosts.values().stream().map(HostState::zone).distinct().limit(WATCHERS).count();
   }
 }
--- a/alderyard-common/src/main/java/org/alderyard/common/watch/package-info.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/watch/package-info.java
@@ -1,2 +1,2 @@
-/** Which hosts watch which primary; every host works it out alike from the view. */
+/** The assignment of watchers to primaries, which every host derives identically from the view. */
 package org.alderyard.common.watch;
--- a/alderyard-common/src/test/java/org/alderyard/common/http/HalfSentRequestTest.java
+++ b/alderyard-common/src/test/java/org/alderyard/common/http/IncompleteRequestBodyTest.java
@@ -24,21 +24,24 @@
 import org.xnio.XnioWorker;
 
 /**
- * Clients open many connections, send headers and half of a body, and nothing more. The time for a
- * request ended only those that had sent half of their headers: the others stayed open for as long
- * as the idle time, with what they had sent in memory, and the host ran out of descriptors.
+ * Guards against clients that open many connections and send the headers and half of a body. The
+ * request timeout once covered the headers only: such connections stayed open with their buffered
+ * bytes for the whole idle timeout, and the host ran out of descriptors.
  */
-class HalfSentRequestTest {
+class IncompleteRequestBodyTest {
   private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(300);
 
-  /** Far above the time for a request, far below the idle time, so that only the former passes. */
-  private static final int ENDED_WITHIN_MILLIS = 20_000;
+  /**
+   * Far above the request timeout and far below the idle timeout, so that only the former can
+   * expire.
+   */
+  private static final int CLOSE_WAIT_MILLIS = 20_000;
 
   private static final int CLIENTS = 50;
 
-  private static final int HELD_BYTES = 2 * 1024 * 1024;
+  private static final int MAX_RESERVED_BYTES = 2 * 1024 * 1024;
 
-  private static final Executor LATER =
+  private static final Executor DELAYED_EXECUTOR =
       CompletableFuture.delayedExecutor(3 * REQUEST_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
 
   private XnioWorker worker;
@@ -50,7 +53,8 @@
         Xnio.getInstance()
             .createWorker(OptionMap.builder().set(Options.WORKER_IO_THREADS, 1).getMap());
     HttpLimits limits =
-        new HttpLimits(16 * 1024, 1024 * 1024, HELD_BYTES, REQUEST_TIMEOUT, Duration.ofMinutes(5));
+        new HttpLimits(
+            16 * 1024, 1024 * 1024, MAX_RESERVED_BYTES, REQUEST_TIMEOUT, Duration.ofMinutes(5));
     port =
         new HttpPort(
             "test",
@@ -63,7 +67,7 @@
                     exchange,
                     body ->
                         CompletableFuture.supplyAsync(
-                            () -> Json.object().put("bytes", body.length), LATER)));
+                            () -> Json.object().put("bytes", body.length), DELAYED_EXECUTOR)));
   }
 
   @AfterEach
@@ -73,14 +77,14 @@
   }
 
   @Test
-  void requestsWithHalfOfTheirBodyAreEnded() throws Exception {
+  void connectionsWithIncompleteBodiesAreClosed() throws Exception {
     List<Socket> clients = new ArrayList<>();
     try {
       for (int i = 0; i < CLIENTS; i++) {
-        clients.add(send(head(1_000) + "half of a body"));
+        clients.add(send(requestHead(1_000) + "half of a body"));
       }
       for (Socket client : clients) {
-        assertThat(ended(client)).isTrue();
+        assertThat(isClosed(client)).isTrue();
       }
     } finally {
       for (Socket client : clients) {
@@ -90,8 +94,8 @@
   }
 
   @Test
-  void bodyThatDripsDoesNotExtendTheTime() throws Exception {
-    try (Socket client = send(head(1_000_000))) {
+  void slowBodyDoesNotExtendTheTimeout() throws Exception {
+    try (Socket client = send(requestHead(1_000_000))) {
       boolean closed = false;
       long bytesSent = 0;
       while (!closed && bytesSent < 1_000) {
@@ -99,7 +103,7 @@
           client.getOutputStream().write('x');
           bytesSent++;
           TimeUnit.MILLISECONDS.sleep(REQUEST_TIMEOUT.toMillis() / 10);
-        } catch (SocketException ended) {
+        } catch (SocketException closedByServer) {
           closed = true;
         }
       }
@@ -108,16 +112,16 @@
   }
 
   @Test
-  void requestBeyondWhatAllMayHoldIsToldToComeBack() throws Exception {
+  void requestAboveTheTotalBodyLimitIsRefusedWithRetryAfter() throws Exception {
     List<Socket> clients = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
-      clients.add(send(head(1_000_000) + "half"));
+      clients.add(send(requestHead(1_000_000) + "half"));
     }
     List<String> refusals = new ArrayList<>();
     for (Socket client : clients) {
-      String answer = answer(client);
-      if (!answer.isEmpty()) {
-        refusals.add(answer);
+      String response = readUntilClosed(client);
+      if (!response.isEmpty()) {
+        refusals.add(response);
       }
       client.close();
     }
@@ -125,56 +129,56 @@
     assertThat(refusals.get(0)).contains("503");
     assertThat(refusals.get(0)).contains("Retry-After: 1");
     assertThat(refusals.get(0)).contains("\"outcome\":\"NOT_RUN\"");
-    try (Socket later = send(head(1_000_000) + "x".repeat(1_000_000))) {
+    try (Socket later = send(requestHead(1_000_000) + "x".repeat(1_000_000))) {
       assertThat(later.getInputStream().read(new byte[16])).isEqualTo(16);
     }
   }
 
   @Test
-  void wholeRequestMayTakeLongerToAnswer() throws Exception {
-    try (Socket client = send(head(4) + "body")) {
+  void responseMayTakeLongerThanTheRequestTimeout() throws Exception {
+    try (Socket client = send(requestHead(4) + "body")) {
       byte[] buffer = new byte[4096];
       int n = client.getInputStream().read(buffer);
-      String answer = new String(buffer, 0, Math.max(0, n), StandardCharsets.UTF_8);
-      assertThat(answer).contains("200 OK");
-      assertThat(answer).contains("{\"bytes\":4}");
+      String response = new String(buffer, 0, Math.max(0, n), StandardCharsets.UTF_8);
+      assertThat(response).contains("200 OK");
+      assertThat(response).contains("{\"bytes\":4}");
     }
   }
 
-  private static String head(int bodyBytes) {
+  private static String requestHead(int bodyBytes) {
     return "POST /x HTTP/1.1\r\nHost: x\r\nContent-Length: " + bodyBytes + "\r\n\r\n";
   }
 
   private Socket send(String text) throws IOException {
     Socket socket = new Socket(port.address().getAddress(), port.address().getPort());
-    socket.setSoTimeout(ENDED_WITHIN_MILLIS);
+    socket.setSoTimeout(CLOSE_WAIT_MILLIS);
     socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     return socket;
   }
 
-  /** Returns whether the port ended the connection, with or without an answer before. */
-  private static boolean ended(Socket socket) throws IOException {
+  /** Returns whether the server closed the connection, with or without a response. */
+  private static boolean isClosed(Socket socket) throws IOException {
     try {
-      answer(socket);
+      readUntilClosed(socket);
       return true;
-    } catch (SocketTimeoutException open) {
+    } catch (SocketTimeoutException stillOpen) {
       return false;
     }
   }
 
-  /** Returns what comes until the port ends the connection. */
-  private static String answer(Socket socket) throws IOException {
-    StringBuilder answer = new StringBuilder();
+  /** Returns everything that is received until the server closes the connection. */
+  private static String readUntilClosed(Socket socket) throws IOException {
+    StringBuilder response = new StringBuilder();
     try {
       byte[] buffer = new byte[4096];
       for (int n = socket.getInputStream().read(buffer);
           n >= 0;
           n = socket.getInputStream().read(buffer)) {
-        answer.append(new String(buffer, 0, n, StandardCharsets.UTF_8));
+        response.append(new String(buffer, 0, n, StandardCharsets.UTF_8));
       }
     } catch (SocketException reset) {
-      // A reset ends the connection as well as a close does.
+      // A reset counts as the end of the connection, like a close.
     }
-    return answer.toString();
+    return response.toString();
   }
 }
--- a/alderyard-common/src/test/java/org/alderyard/common/id/WrittenOutEqualityTest.java
+++ b/alderyard-common/src/test/java/org/alderyard/common/id/ExplicitEqualityTest.java
@@ -11,12 +11,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * All hosts lose power at once. Callers come back before the hosts have a view, and wait for the
- * start of the control hosts. A tenth of a second of it went into linking equals and hashCode of
- * records that are keys of the first tables, one record after the other.
+ * Guards against a slow start after a power loss of all hosts. Callers reconnect before the hosts
+ * have a view and wait for the start of the control hosts; a tenth of a second of that start went
+ * into linking the generated {@code equals} and {@code hashCode} of the records that are keys of
+ * the first tables.
  */
-class WrittenOutEqualityTest {
-  private static final List<Class<?>> KEYS =
+class ExplicitEqualityTest {
+  private static final List<Class<?>> KEY_TYPES =
       List.of(
           CallerId.class,
           GroupId.class,
@@ -29,16 +30,16 @@
           ViewVersion.class);
 
   @Test
-  void keysLinkNothingAtTheirFirstUse() throws IOException {
-    for (Class<?> key : KEYS) {
-      assertWithMessage(key.getSimpleName())
-          .that(bytecode(key))
+  void keyTypesHaveNoGeneratedRecordMethods() throws IOException {
+    for (Class<?> keyType : KEY_TYPES) {
+      assertWithMessage(keyType.getSimpleName())
+          .that(bytecode(keyType))
           .doesNotContain("java/lang/runtime/ObjectMethods");
     }
   }
 
   @Test
-  void sameValuesAreEqual() {
+  void equalValuesHaveEqualHashCodes() {
     assertThat(new ServerId("s1")).isEqualTo(new ServerId("s1"));
     assertThat(new ServerId("s1").hashCode()).isEqualTo(new ServerId("s1").hashCode());
     assertThat(new Position(2, 7)).isEqualTo(new Position(2, 7));
@@ -46,7 +47,7 @@
   }
 
   @Test
-  void otherValuesAndOtherTypesAreNot() {
+  void differentValuesAndTypesAreNotEqual() {
     assertThat(new ServerId("s1")).isNotEqualTo(new ServerId("s2"));
     assertThat((Object) new ServerId("s1")).isNotEqualTo(new HostId("s1"));
     assertThat(new Position(2, 7)).isNotEqualTo(new Position(7, 2));
--- a/alderyard-common/src/test/java/org/alderyard/common/log/DependencyLogTest.java
+++ b/alderyard-common/src/test/java/org/alderyard/common/log/DependencyLogTest.java
@@ -13,33 +13,36 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Lines about something that a process depends on. */
+/** The log lines about the loss and recovery of a dependency. */
 class DependencyLogTest {
-  private final ListAppender<ILoggingEvent> lines = new ListAppender<>();
+  private final ListAppender<ILoggingEvent> appender = new ListAppender<>();
   private final Logger logger = new LoggerContext().getLogger("test");
   private final DependencyLog heartbeat = new DependencyLog(logger, "heartbeat");
 
   @BeforeEach
-  void collect() {
+  void startAppender() {
     logger.setLevel(Level.INFO);
-    lines.start();
-    logger.addAppender(lines);
+    appender.start();
+    logger.addAppender(appender);
   }
 
-  private List<String> texts() {
-    return lines.list.stream().map(ILoggingEvent::getFormattedMessage).toList();
+  private List<String> messages() {
+    return appender.list.stream().map(ILoggingEvent::getFormattedMessage).toList();
   }
 
-  private static AlderyardException lost(String detail) {
+  private static AlderyardException noQuorum(String detail) {
     return AlderyardException.notRun(ErrorCode.NO_QUORUM, detail);
   }
 
-  /** Guards against a loss whose line does not tell a stopped host from a cut or a slow leader. */
+  /**
+   * Guards against a line that does not distinguish a stopped host from a network partition or a
+   * slow leader.
+   */
   @Test
-  void lineOfLossTellsWhichHostsWereTriedAndWhy() {
-    heartbeat.failed(lost("tried 10.0.0.1:7440:DEADLINE_EXCEEDED:OUTCOME_UNKNOWN"));
+  void lossLineNamesTheTriedHostsAndReasons() {
+    heartbeat.failed(noQuorum("tried 10.0.0.1:7440:DEADLINE_EXCEEDED:OUTCOME_UNKNOWN"));
 
-    assertThat(texts())
+    assertThat(messages())
         .containsExactly(
             "event=dependency-lost dependency=heartbeat reason=NO_QUORUM"
                 + " detail=\"tried 10.0.0.1:7440:DEADLINE_EXCEEDED:OUTCOME_UNKNOWN\"");
@@ -48,12 +51,12 @@
   @Test
   void furtherFailuresAreCountedAndNotLogged() {
     heartbeat.worked();
-    heartbeat.failed(lost("first"));
-    heartbeat.failed(lost("second"));
+    heartbeat.failed(noQuorum("first"));
+    heartbeat.failed(noQuorum("second"));
     heartbeat.worked();
 
-    assertThat(texts()).hasSize(2);
-    assertThat(texts().get(1))
+    assertThat(messages()).hasSize(2);
+    assertThat(messages().get(1))
         .isEqualTo("event=dependency-regained dependency=heartbeat failures=2");
   }
 }
--- a/alderyard-common/src/test/java/org/alderyard/common/view/LostTailTest.java
+++ b/alderyard-common/src/test/java/org/alderyard/common/view/LostEntriesTest.java
@@ -9,8 +9,8 @@
 import org.alderyard.common.id.ServerId;
 import org.junit.jupiter.api.Test;
 
-/** Which entries of older terms a group's term history shows as lost. */
-class LostTailTest {
+/** Which log entries of older terms the term history of a group marks as lost. */
+class LostEntriesTest {
 
   @Test
   void entryPastTheStartOfLaterTermIsLost() {
@@ -21,19 +21,20 @@
   }
 
   /**
-   * A coordinator sees a change that the primary of term 2 never got to a replica. That primary
-   * dies; the next one has a long log of term 1 and missed term 2 altogether. By its index the
-   * entry would look held, and the coordinator's next page would silently miss what it had shown.
+   * Guards against a lost entry that counts as kept. The primary of term 2 fails before it
+   * replicates an entry that a coordinator has read; the next primary has a longer log of term 1
+   * and no entries of term 2. By its index the entry appears to be held, and the coordinator's next
+   * page silently misses it.
    */
   @Test
-  void entryOfTermThatTheNextPrimaryMissedIsLostAlthoughItsLogIsLonger() {
+  void entryOfTermMissingInLongerLogOfNextPrimaryIsLost() {
     GroupState group = group(new TermStart(2, 5, 1), new TermStart(3, 20, 1));
     assertThat(group.lost(new Position(2, 6))).isTrue();
     assertThat(group.lost(new Position(1, 5))).isFalse();
   }
 
   @Test
-  void entryOfTermThatTheNextPrimaryHoldsIsKept() {
+  void entryOfTermInTheLogOfTheNextPrimaryIsKept() {
     GroupState group = group(new TermStart(2, 5, 1), new TermStart(3, 20, 2));
     assertThat(group.lost(new Position(2, 6))).isFalse();
     assertThat(group.lost(new Position(1, 6))).isTrue();
