--- a/alderyard-protocol/src/main/java/org/alderyard/protocol/control/ControlClient.java
+++ b/alderyard-protocol/src/main/java/org/alderyard/protocol/control/ControlClient.java
@@ -16,25 +16,29 @@
 import org.alderyard.protocol.wire.PeerLinks;
 
 /**
- * Sends requests to the control host that leads, and looks for it when it moved.
+ * Sends requests to the leading control host and searches for the leader after a change of
+ * leadership.
  *
- * <p>Every request is idempotent: after a lost answer it goes to another host.
+ * <p>Every request must be idempotent: after a lost reply it is sent to another host.
  */
 public final class ControlClient {
-  private static final int PATIENT_ROUNDS = 30;
-  private static final Duration ROUND_PAUSE = Duration.ofMillis(100);
+  private static final int RETRY_ROUNDS = 30;
+  private static final Duration ROUND_DELAY = Duration.ofMillis(100);
 
   private final PeerLinks links;
   private final Supplier<List<InetSocketAddress>> controlHosts;
   private final WorkerPool workers;
-  private final AtomicInteger preferred = new AtomicInteger();
+  private final AtomicInteger preferredIndex = new AtomicInteger();
 
-  /** Uses the given links to the given inner addresses. */
+  /** Creates a client for a fixed list of control hosts, by their inner addresses. */
   public ControlClient(PeerLinks links, List<InetSocketAddress> controlHosts, WorkerPool workers) {
-    this(links, fixed(controlHosts), workers);
+    this(links, fixedList(controlHosts), workers);
   }
 
-  /** Uses the given links to the inner addresses that are known at each call. */
+  /**
+   * Creates a client that obtains the inner addresses of the control hosts from the supplier for
+   * each call.
+   */
   public ControlClient(
       PeerLinks links, Supplier<List<InetSocketAddress>> controlHosts, WorkerPool workers) {
     this.links = links;
@@ -42,106 +46,113 @@
     this.workers = workers;
   }
 
-  private static Supplier<List<InetSocketAddress>> fixed(List<InetSocketAddress> addresses) {
+  private static Supplier<List<InetSocketAddress>> fixedList(List<InetSocketAddress> addresses) {
     List<InetSocketAddress> copy = List.copyOf(addresses);
     return () -> copy;
   }
 
-  /** Returns how many control hosts are known. */
+  /** Returns the number of known control hosts. */
   public int hostCount() {
     return controlHosts.get().size();
   }
 
-  /** Sends a request to one host, by its place in the list. */
+  /**
+   * Sends a request to one control host.
+   *
+   * @param index the index of the host in the list of control hosts, modulo the length of the list
+   */
   public <Q extends MessageLite, R extends MessageLite> CompletableFuture<R> callHost(
-      int place, Method<Q, R> method, Q request, Duration timeout) {
-    return links.to(address(place)).call(method, request, timeout);
+      int index, Method<Q, R> method, Q request, Duration timeout) {
+    return links.to(address(index)).call(method, request, timeout);
   }
 
-  private InetSocketAddress address(int place) {
+  private InetSocketAddress address(int index) {
     List<InetSocketAddress> addresses = controlHosts.get();
-    return addresses.get(Math.floorMod(place, addresses.size()));
+    return addresses.get(Math.floorMod(index, addresses.size()));
   }
 
-  /** Sends an idempotent request to one host after another until one serves it. */
+  /** Sends an idempotent request to one control host after another until one of them serves it. */
   public <Q extends MessageLite, R extends MessageLite> CompletableFuture<R> callIdempotent(
       Method<Q, R> method, Q request, Duration timeout) {
-    return new Search<>(method, request, timeout, hostCount(), Duration.ZERO).run();
+    return new RetryingCall<>(method, request, timeout, hostCount(), Duration.ZERO).run();
   }
 
   /**
-   * Sends an idempotent request round after round, for about three seconds: as long as hosts need
-   * to elect another leader.
+   * Sends an idempotent request to all control hosts in rounds, for about three seconds. The hosts
+   * need about that time to elect another leader.
    */
   public <Q extends MessageLite, R extends MessageLite> CompletableFuture<R> callPatiently(
       Method<Q, R> method, Q request, Duration timeout) {
-    int tries = hostCount() * PATIENT_ROUNDS;
-    return new Search<>(method, request, timeout, tries, ROUND_PAUSE).run();
+    int attempts = hostCount() * RETRY_ROUNDS;
+    return new RetryingCall<>(method, request, timeout, attempts, ROUND_DELAY).run();
   }
 
   /**
-   * Sends an idempotent request round after round, until the given time is over.
+   * Sends an idempotent request to all control hosts in rounds until the given total time has
+   * passed.
    *
-   * <p>Guards against a storm: who waited for the answer has turned to another host by then, and
-   * tries that go on for nobody keep the control hosts from those that still wait. While a leader
-   * was slow, such tries alone were several hundred requests a second.
+   * <p>After that time the caller has turned to another host. Attempts that continue without a
+   * recipient of the reply would take capacity from the requests that are still wanted: with a slow
+   * leader, such attempts alone amounted to several hundred requests per second.
    */
   public <Q extends MessageLite, R extends MessageLite> CompletableFuture<R> callWithin(
       Method<Q, R> method, Q request, Duration timeout, Duration total) {
-    Search<Q, R> search =
-        new Search<>(method, request, timeout, hostCount() * PATIENT_ROUNDS, ROUND_PAUSE);
-    workers.schedule(total, search::stop);
-    return search.run();
+    RetryingCall<Q, R> retryingCall =
+        new RetryingCall<>(method, request, timeout, hostCount() * RETRY_ROUNDS, ROUND_DELAY);
+    workers.schedule(total, retryingCall::stop);
+    return retryingCall.run();
   }
 
   /**
-   * What blames the request, another host would refuse as well; any other failure speaks for the
-   * host that was asked. A leader that has too much to do is reached through others just the same.
+   * Returns whether another host may serve a request that failed with this code. Every host refuses
+   * a request that is itself at fault; other failures concern the host that returned them. An
+   * overloaded leader is not retried, since other hosts would send the request to the same leader.
    */
-  private static boolean worthAnother(ErrorCode code) {
+  private static boolean mayRetryElsewhere(ErrorCode code) {
     return switch (code) {
-      // What a host of an earlier build says of a method that it does not serve.
+      // Hosts of an earlier build return this code for a method that they do not serve.
       case NOT_FOUND -> true;
       case OVERLOADED -> false;
       default -> !code.blamesRequest();
     };
   }
 
-  /** One request on its way from host to host. */
-  private final class Search<Q extends MessageLite, R extends MessageLite> {
+  /** A request that is sent to one host after another until one of them serves it. */
+  private final class RetryingCall<Q extends MessageLite, R extends MessageLite> {
     private final Method<Q, R> method;
     private final Q request;
     private final Duration timeout;
-    private final Duration pause;
+    private final Duration roundDelay;
     private final CompletableFuture<R> result = new CompletableFuture<>();
-    private final TriedHosts tried = new TriedHosts();
-    private int triesLeft;
-    // Whether any try may have been served without an answer.
-    private boolean doubt;
+    private final TriedHosts triedHosts = new TriedHosts();
+    private int attemptsLeft;
+    // Whether any attempt may have been served without a reply.
+    private boolean mayHaveRun;
     private volatile boolean stopped;
 
-    Search(Method<Q, R> method, Q request, Duration timeout, int tries, Duration pause) {
+    RetryingCall(
+        Method<Q, R> method, Q request, Duration timeout, int attempts, Duration roundDelay) {
       this.method = method;
       this.request = request;
       this.timeout = timeout;
-      this.pause = pause;
-      this.triesLeft = tries;
+      this.roundDelay = roundDelay;
+      this.attemptsLeft = attempts;
     }
 
     CompletableFuture<R> run() {
-      next();
+      tryNextHost();
       return result;
     }
 
-    /** Makes the try that is under way the last one. */
+    /** Makes the current attempt the last one. */
     void stop() {
       stopped = true;
     }
 
-    private void next() {
-      triesLeft--;
-      int place = preferred.get();
-      InetSocketAddress host = address(place);
+    private void tryNextHost() {
+      attemptsLeft--;
+      int index = preferredIndex.get();
+      InetSocketAddress host = address(index);
       links
           .to(host)
           .call(method, request, timeout)
@@ -151,47 +162,51 @@
                   result.complete(reply);
                 } else {
                   AlderyardException typed = Futures.typed(failure);
-                  tried.add(host, typed);
-                  failed(place, typed);
+                  triedHosts.add(host, typed);
+                  onFailure(index, typed);
                 }
               });
     }
 
-    private void failed(int place, AlderyardException failure) {
-      doubt |= failure.outcome() != Outcome.NOT_RUN;
-      if (!worthAnother(failure.code())) {
-        refuse(failure);
+    private void onFailure(int index, AlderyardException failure) {
+      mayHaveRun |= failure.outcome() != Outcome.NOT_RUN;
+      if (!mayRetryElsewhere(failure.code())) {
+        completeRefused(failure);
         return;
       }
-      preferred.compareAndSet(place, Math.floorMod(place + 1, hostCount()));
-      if (triesLeft == 0 || stopped) {
-        end(ErrorCode.NO_QUORUM, doubt ? Outcome.OUTCOME_UNKNOWN : Outcome.NOT_RUN, failure);
+      preferredIndex.compareAndSet(index, Math.floorMod(index + 1, hostCount()));
+      if (attemptsLeft == 0 || stopped) {
+        completeFailed(
+            ErrorCode.NO_QUORUM, mayHaveRun ? Outcome.OUTCOME_UNKNOWN : Outcome.NOT_RUN, failure);
         return;
       }
-      boolean roundOver = triesLeft % hostCount() == 0;
-      if (roundOver && !pause.isZero()) {
-        workers.schedule(pause, this::next);
+      boolean roundOver = attemptsLeft % hostCount() == 0;
+      if (roundOver && !roundDelay.isZero()) {
+        workers.schedule(roundDelay, this::tryNextHost);
       } else {
-        next();
+        tryNextHost();
       }
     }
 
-    /** One host's refusal says nothing of a try before that another host may have carried out. */
-    private void refuse(AlderyardException refusal) {
-      if (doubt) {
-        end(ErrorCode.NO_QUORUM, Outcome.OUTCOME_UNKNOWN, refusal);
+    /**
+     * Completes the request after a refusal. A refusal by one host does not exclude that another
+     * host has executed an earlier attempt.
+     */
+    private void completeRefused(AlderyardException refusal) {
+      if (mayHaveRun) {
+        completeFailed(ErrorCode.NO_QUORUM, Outcome.OUTCOME_UNKNOWN, refusal);
       } else {
-        end(refusal.code(), refusal.outcome(), refusal);
+        completeFailed(refusal.code(), refusal.outcome(), refusal);
       }
     }
 
-    private void end(ErrorCode code, Outcome outcome, AlderyardException last) {
+    private void completeFailed(ErrorCode code, Outcome outcome, AlderyardException lastFailure) {
       result.completeExceptionally(
-          last.restated(
+          lastFailure.restated(
               code,
               outcome,
-              "no control host served %s; the last one: %s; tried %s"
-                  .formatted(method.name(), last.getMessage(), tried)));
+              "no control host served %s; last failure: %s; tried %s"
+                  .formatted(method.name(), lastFailure.getMessage(), triedHosts)));
     }
   }
 }
--- a/alderyard-protocol/src/main/java/org/alderyard/protocol/control/ControlDiscovery.java
+++ b/alderyard-protocol/src/main/java/org/alderyard/protocol/control/ControlDiscovery.java
@@ -20,50 +20,52 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Finds the control hosts through the seeds, which may be any hosts.
+ * Discovers the control hosts through the seeds, which may be any hosts.
  *
- * <p>Views name them; before the first view, and while none of them answers, the seeds and all
- * control hosts that are known are asked whom they know. Control hosts tell the seeds of
- * themselves.
+ * <p>Views name the control hosts. Before the first view, and while no control host answers, this
+ * host queries the seeds and all known control hosts for the control hosts that they know. Control
+ * hosts announce themselves to the seeds.
  *
- * <p>That guards against a start of all hosts at once with seeds that are no control hosts: these
- * know nobody, and each host would ask them for ever.
+ * <p>Without these announcements, a simultaneous start of all hosts would never complete if no seed
+ * is a control host: the seeds would know no control host, and all hosts would query the seeds
+ * forever.
  */
 public final class ControlDiscovery {
   private static final Logger log = LoggerFactory.getLogger(ControlDiscovery.class);
   private static final Duration INTERVAL = Duration.ofMillis(500);
   private static final Duration CALL_TIMEOUT = Duration.ofSeconds(1);
 
-  /** A control host tells the seeds of itself every 2 s, also when it needs nothing of them. */
-  private static final int TELLING_ROUNDS = 4;
+  /** A control host announces itself to the seeds every 2 s, even while it is connected. */
+  private static final int ROUNDS_PER_ANNOUNCEMENT = 4;
 
   private final ControlHosts hosts;
   private final PeerLinks links;
   private final WorkerPool workers;
   private final BooleanSupplier connected;
-  private final Supplier<List<InetSocketAddress>> certain;
-  private int rounds;
+  private final Supplier<List<InetSocketAddress>> confirmed;
+  private int round;
 
   /**
-   * Keeps the given list up to date.
+   * Creates the discovery, which keeps the given list up to date.
    *
-   * @param connected whether the control hosts that are known answer
-   * @param certain the control hosts that this host is sure of, as it is one itself
+   * @param connected whether the known control hosts answer
+   * @param confirmed the control hosts that this host knows for certain because it is one of them;
+   *     empty on other hosts
    */
   public ControlDiscovery(
       ControlHosts hosts,
       PeerLinks links,
       WorkerPool workers,
       BooleanSupplier connected,
-      Supplier<List<InetSocketAddress>> certain) {
+      Supplier<List<InetSocketAddress>> confirmed) {
     this.hosts = hosts;
     this.links = links;
     this.workers = workers;
     this.connected = connected;
-    this.certain = certain;
+    this.confirmed = confirmed;
   }
 
-  /** Adds the method by which others ask this host. */
+  /** Registers the method by which other hosts query this host. */
   public void serve(Dispatcher dispatcher) {
     dispatcher.serve(
         ControlMethods.FIND_CONTROL_HOSTS,
@@ -77,40 +79,43 @@
         .build();
   }
 
-  /** Starts to ask while no view comes. */
+  /**
+   * Starts the periodic discovery. It sends queries only while no control host answers, apart from
+   * the announcements of a control host.
+   */
   public void start() {
-    workers.scheduleRepeatedly(INTERVAL, this::ask);
+    workers.scheduleRepeatedly(INTERVAL, this::discover);
   }
 
-  /** Takes the hosts of a view. */
+  /** Updates the known control hosts from the hosts of a view. */
   public void learn(Collection<HostState> all) {
     List<InetSocketAddress> control =
         all.stream().filter(HostState::control).map(HostState::innerAddress).toList();
     hosts.replace(control);
   }
 
-  private void ask() {
-    List<InetSocketAddress> sure = certain.get();
-    hosts.add(sure);
-    boolean tells = !sure.isEmpty() && rounds++ % TELLING_ROUNDS == 0;
-    if (connected.getAsBoolean() && !tells) {
+  private void discover() {
+    List<InetSocketAddress> confirmedHosts = confirmed.get();
+    hosts.add(confirmedHosts);
+    boolean announces = !confirmedHosts.isEmpty() && round++ % ROUNDS_PER_ANNOUNCEMENT == 0;
+    if (connected.getAsBoolean() && !announces) {
       return;
     }
     FindControlHostsRequest request =
         FindControlHostsRequest.newBuilder()
-            .addAllControlHosts(sure.stream().map(StateCodec::endpointMessage).toList())
+            .addAllControlHosts(confirmedHosts.stream().map(StateCodec::endpointMessage).toList())
             .build();
-    Set<InetSocketAddress> asked = new LinkedHashSet<>(hosts.listed());
-    asked.addAll(hosts.addresses());
-    for (InetSocketAddress address : asked) {
+    Set<InetSocketAddress> recipients = new LinkedHashSet<>(hosts.listed());
+    recipients.addAll(hosts.addresses());
+    for (InetSocketAddress address : recipients) {
       links
           .to(address)
           .call(ControlMethods.FIND_CONTROL_HOSTS, request, CALL_TIMEOUT)
-          .thenAccept(reply -> heard(address, reply));
+          .thenAccept(reply -> onReply(address, reply));
     }
   }
 
-  private void heard(InetSocketAddress from, FindControlHostsReply reply) {
+  private void onReply(InetSocketAddress from, FindControlHostsReply reply) {
     List<InetSocketAddress> known =
         reply.getControlHostsList().stream().map(StateCodec::address).toList();
     log.debug("event=control-hosts-heard from={} hosts={}", from, known);
--- a/alderyard-protocol/src/main/java/org/alderyard/protocol/control/ControlHosts.java
+++ b/alderyard-protocol/src/main/java/org/alderyard/protocol/control/ControlHosts.java
@@ -7,63 +7,65 @@
 import java.util.Set;
 
 /**
- * The inner addresses of the control hosts, as far as this host knows them.
+ * The inner addresses of the known control hosts.
  *
- * <p>Lock: the object itself, a leaf.
+ * <p>Locking: guarded by the object itself; no other lock is acquired while it is held.
  */
 public final class ControlHosts {
   private final List<InetSocketAddress> listed;
-  private final int enough;
+  private final int voterCount;
   // Guarded by this.
-  private Set<InetSocketAddress> learned = new LinkedHashSet<>();
+  private Set<InetSocketAddress> discovered = new LinkedHashSet<>();
   private volatile List<InetSocketAddress> addresses;
 
   /**
-   * Starts with what the settings list.
+   * Creates a list with the addresses from the settings.
    *
-   * @param enough how many control hosts vote: a list with fewer is not the whole one
+   * @param listed the addresses from the settings
+   * @param voterCount the number of voting control hosts; a list with fewer hosts is incomplete
    */
-  public ControlHosts(List<InetSocketAddress> listed, int enough) {
+  public ControlHosts(List<InetSocketAddress> listed, int voterCount) {
     this.listed = List.copyOf(listed);
-    this.enough = enough;
+    this.voterCount = voterCount;
     this.addresses = this.listed;
   }
 
-  /** Returns what the settings list. */
+  /** Returns the addresses from the settings. */
   public List<InetSocketAddress> listed() {
     return listed;
   }
 
-  /** Returns all that are known, those that were learned first. */
+  /** Returns all known addresses, discovered addresses first. */
   public List<InetSocketAddress> addresses() {
     return addresses;
   }
 
   /**
-   * Takes the control hosts of a view, and forgets others if these can be all.
+   * Adds the control hosts of a view. If they can be all control hosts, they replace the discovered
+   * ones.
    *
-   * <p>Guards against a view from when the hosts register one by one: it names a single control
-   * host, which need not lead, and all others would never be asked again.
+   * <p>While hosts register one by one, a view may name a single control host that is not the
+   * leader. If that view replaced the list, the other control hosts would never be contacted again.
    */
-  public synchronized void replace(Collection<InetSocketAddress> known) {
-    if (known.size() >= enough) {
-      learned = new LinkedHashSet<>(known);
+  public synchronized void replace(Collection<InetSocketAddress> viewHosts) {
+    if (viewHosts.size() >= voterCount) {
+      discovered = new LinkedHashSet<>(viewHosts);
     } else {
-      learned.addAll(known);
+      discovered.addAll(viewHosts);
     }
-    publish();
+    updateAddresses();
   }
 
-  /** Takes what another host knows; nothing is forgotten. */
-  public synchronized void add(Collection<InetSocketAddress> heard) {
-    if (learned.addAll(heard)) {
-      publish();
+  /** Adds the control hosts reported by another host; known addresses are kept. */
+  public synchronized void add(Collection<InetSocketAddress> reported) {
+    if (discovered.addAll(reported)) {
+      updateAddresses();
     }
   }
 
-  private void publish() {
-    Set<InetSocketAddress> all = new LinkedHashSet<>(learned);
-    if (learned.size() < enough) {
+  private void updateAddresses() {
+    Set<InetSocketAddress> all = new LinkedHashSet<>(discovered);
+    if (discovered.size() < voterCount) {
       all.addAll(listed);
     }
     addresses = List.copyOf(all);
--- a/alderyard-protocol/src/main/java/org/alderyard/protocol/control/ControlMethods.java
+++ b/alderyard-protocol/src/main/java/org/alderyard/protocol/control/ControlMethods.java
@@ -24,29 +24,29 @@
 import org.alderyard.protocol.generated.control.TicketStatusRequest;
 import org.alderyard.protocol.wire.Method;
 
-/** The methods that control hosts serve. */
+/** The methods of the inner protocol that control hosts serve. */
 public final class ControlMethods {
-  /** Orders a ticket and returns its answer once it is committed. */
+  /** Submits a ticket and returns its result once the ticket is committed. */
   public static final Method<SubmitTicketRequest, SubmitTicketReply> SUBMIT_TICKET =
       new Method<>(1, "submit-ticket", SubmitTicketRequest.parser(), SubmitTicketReply.parser());
 
-  /** Returns the answers of tickets and on how many hosts they are in force. */
+  /** Returns the results of tickets and the number of hosts on which they are in force. */
   public static final Method<TicketStatusRequest, TicketStatusReply> TICKET_STATUS =
       new Method<>(2, "ticket-status", TicketStatusRequest.parser(), TicketStatusReply.parser());
 
-  /** Passes on the announcements of backend servers. */
+  /** Forwards the announcements of backend servers. */
   public static final Method<AnnounceRequest, AnnounceReply> ANNOUNCE =
       new Method<>(3, "announce", AnnounceRequest.parser(), AnnounceReply.parser());
 
-  /** Returns what changed in the view, as soon as something did. */
+  /** Returns the changes of the view as soon as there are any. */
   public static final Method<FetchViewRequest, FetchViewReply> FETCH_VIEW =
       new Method<>(4, "fetch-view", FetchViewRequest.parser(), FetchViewReply.parser());
 
-  /** Renews the lease of a host, and tells which version it acts on. */
+  /** Renews the lease of a host and reports the view version that the host acts on. */
   public static final Method<HeartbeatRequest, HeartbeatReply> HEARTBEAT =
       new Method<>(5, "heartbeat", HeartbeatRequest.parser(), HeartbeatReply.parser());
 
-  /** Returns who leads and how far the hosts have followed. */
+  /** Returns the leader and the view versions that the hosts have reached. */
   public static final Method<ControlStatusRequest, ControlStatusReply> STATUS =
       new Method<>(6, "status", ControlStatusRequest.parser(), ControlStatusReply.parser());
 
@@ -54,7 +54,9 @@
   public static final Method<DrainHostRequest, DrainHostReply> DRAIN_HOST =
       new Method<>(7, "drain-host", DrainHostRequest.parser(), DrainHostReply.parser());
 
-  /** Replaces the configuration of sessions; answered once it is committed. */
+  /**
+   * Replaces the configuration of sessions; the reply is sent once the configuration is committed.
+   */
   public static final Method<ReplaceConfigurationRequest, ReplaceConfigurationReply>
       REPLACE_CONFIGURATION =
           new Method<>(
@@ -63,7 +65,7 @@
               ReplaceConfigurationRequest.parser(),
               ReplaceConfigurationReply.parser());
 
-  /** Returns the newest configuration of sessions, with a quorum's proof that it is. */
+  /** Returns the newest configuration of sessions, as confirmed by a quorum. */
   public static final Method<FetchConfigurationRequest, FetchConfigurationReply>
       FETCH_CONFIGURATION =
           new Method<>(
@@ -72,7 +74,7 @@
               FetchConfigurationRequest.parser(),
               FetchConfigurationReply.parser());
 
-  /** Returns the control hosts that the asked host knows; every host serves it. */
+  /** Returns the control hosts known to the receiving host; served by every host. */
   public static final Method<FindControlHostsRequest, FindControlHostsReply> FIND_CONTROL_HOSTS =
       new Method<>(
           10,
@@ -80,7 +82,7 @@
           FindControlHostsRequest.parser(),
           FindControlHostsReply.parser());
 
-  /** Takes what a host saw of the primaries that it sends work to. */
+  /** Receives a host's observations of the primaries to which it sends requests. */
   public static final Method<ReportPrimariesRequest, ReportPrimariesReply> REPORT_PRIMARIES =
       new Method<>(
           11, "report-primaries", ReportPrimariesRequest.parser(), ReportPrimariesReply.parser());
--- a/alderyard-protocol/src/main/java/org/alderyard/protocol/control/TriedHosts.java
+++ b/alderyard-protocol/src/main/java/org/alderyard/protocol/control/TriedHosts.java
@@ -7,31 +7,32 @@
 import org.alderyard.common.error.AlderyardException;
 
 /**
- * Which hosts a request was sent to and why each did not serve it, for the one line that tells of
- * its end. Of many tries the last ones are kept.
+ * The failed attempts of a request, for the error message of the request. Only the last attempts
+ * are kept.
  */
 final class TriedHosts {
-  /** Two rounds over a control plane of three hosts, and the first tries of the next. */
-  private static final int MAX_KEPT = 8;
+  /** Covers two rounds over three control hosts and the first attempts of the next round. */
+  private static final int MAX_RECENT = 8;
 
-  // Both guarded by this: tries follow one another, on different threads.
-  private final Deque<String> last = new ArrayDeque<>();
-  private int count;
+  // Both guarded by this: attempts are sequential but run on different threads.
+  private final Deque<String> recent = new ArrayDeque<>();
+  private int attemptCount;
 
   synchronized void add(InetSocketAddress host, AlderyardException failure) {
-    count++;
-    if (last.size() == MAX_KEPT) {
-      last.removeFirst();
+    attemptCount++;
+    if (recent.size() == MAX_RECENT) {
+      recent.removeFirst();
     }
-    last.addLast(
+    recent.addLast(
         "%s:%d:%s:%s"
             .formatted(host.getHostString(), host.getPort(), failure.code(), failure.outcome()));
   }
 
-  /** Returns the tries as {@code address:code:outcome}, oldest first. */
+  /** Returns the kept attempts as {@code address:port:code:outcome}, oldest first. */
   @Override
   public synchronized String toString() {
-    String earlier = count > last.size() ? (count - last.size()) + " earlier," : "";
-    return last.stream().collect(Collectors.joining(",", earlier, ""));
+    String earlier =
+        attemptCount > recent.size() ? (attemptCount - recent.size()) + " earlier," : "";
+    return recent.stream().collect(Collectors.joining(",", earlier, ""));
   }
 }
--- a/alderyard-protocol/src/main/java/org/alderyard/protocol/control/package-info.java
+++ b/alderyard-protocol/src/main/java/org/alderyard/protocol/control/package-info.java
@@ -1,2 +1,5 @@
-/** What every host asks of the control hosts: tickets, announcements and the view. */
+/**
+ * The client side of the control hosts: tickets, announcements, views and the discovery of control
+ * hosts.
+ */
 package org.alderyard.protocol.control;
--- a/alderyard-protocol/src/main/java/org/alderyard/protocol/data/DataMethods.java
+++ b/alderyard-protocol/src/main/java/org/alderyard/protocol/data/DataMethods.java
@@ -12,27 +12,27 @@
 import org.alderyard.protocol.generated.statement.HeldStatementRequest;
 import org.alderyard.protocol.wire.Method;
 
-/** The methods that proxies serve for one another. */
+/** The methods of the inner protocol that proxies serve for one another. */
 public final class DataMethods {
-  /** Runs a write under its request id, at the proxy that owns the id. */
+  /** Runs a write under its request ID at the proxy that owns the ID. */
   public static final Method<OwnedWriteRequest, OwnedWriteReply> RUN_OWNED_WRITE =
       new Method<>(200, "run-owned-write", OwnedWriteRequest.parser(), OwnedWriteReply.parser());
 
-  /** Serves a request of a transaction, at the proxy that holds it. */
+  /** Forwards a request of a transaction to the proxy that holds the transaction. */
   public static final Method<ForwardRequest, ForwardReply> FORWARD_TRANSACTION =
       new Method<>(201, "forward-transaction", ForwardRequest.parser(), ForwardReply.parser());
 
-  /** Returns the newest position of a primary that the asked proxy knows. */
+  /** Returns the newest position of a primary that the receiving proxy knows. */
   public static final Method<PositionSampleRequest, PositionSampleReply> POSITION_SAMPLE =
       new Method<>(
           202, "position-sample", PositionSampleRequest.parser(), PositionSampleReply.parser());
 
-  /** Runs a caller's statement, at a host that holds connections to its group. */
+  /** Runs a caller's statement at a host that holds connections to its group. */
   public static final Method<HeldStatementRequest, HeldStatementReply> RUN_HELD_STATEMENT =
       new Method<>(
           203, "run-held-statement", HeldStatementRequest.parser(), HeldStatementReply.parser());
 
-  /** Ends a caller's transaction without keeping anything, at the host that holds it. */
+  /** Rolls back a caller's transaction at the host that holds it. */
   public static final Method<EndHeldTransactionRequest, EndHeldTransactionReply>
       END_HELD_TRANSACTION =
           new Method<>(
--- a/alderyard-protocol/src/main/java/org/alderyard/protocol/data/package-info.java
+++ b/alderyard-protocol/src/main/java/org/alderyard/protocol/data/package-info.java
@@ -1,2 +1,2 @@
-/** What proxies ask of one another on the path of callers' requests. */
+/** The methods that proxies call on one another to serve callers' requests. */
 package org.alderyard.protocol.data;
--- a/alderyard-protocol/src/main/java/org/alderyard/protocol/failover/FailoverMethods.java
+++ b/alderyard-protocol/src/main/java/org/alderyard/protocol/failover/FailoverMethods.java
@@ -6,13 +6,13 @@
 import org.alderyard.protocol.generated.failover.WatchReportReply;
 import org.alderyard.protocol.wire.Method;
 
-/** The methods of failover, all served by the control host that leads. */
+/** The methods of failover, which the leading control host serves. */
 public final class FailoverMethods {
-  /** Replaces all that one host suspects. */
+  /** Replaces the set of primaries that a host suspects of failure. */
   public static final Method<WatchReport, WatchReportReply> WATCH_REPORT =
       new Method<>(300, "watch-report", WatchReport.parser(), WatchReportReply.parser());
 
-  /** Starts a planned hand-over of a group. */
+  /** Starts a planned hand-over of a group to another primary. */
   public static final Method<HandOverRequest, HandOverReply> HAND_OVER =
       new Method<>(301, "hand-over", HandOverRequest.parser(), HandOverReply.parser());
 
--- a/alderyard-protocol/src/main/java/org/alderyard/protocol/failover/package-info.java
+++ b/alderyard-protocol/src/main/java/org/alderyard/protocol/failover/package-info.java
@@ -1,2 +1,2 @@
-/** What watchers and operators ask of the control host that replaces primaries. */
+/** The methods that watchers and operators call on the control host that replaces primaries. */
 package org.alderyard.protocol.failover;
--- a/alderyard-protocol/src/main/java/org/alderyard/protocol/grant/GrantMethods.java
+++ b/alderyard-protocol/src/main/java/org/alderyard/protocol/grant/GrantMethods.java
@@ -4,9 +4,9 @@
 import org.alderyard.protocol.generated.grant.RenewGrantsRequest;
 import org.alderyard.protocol.wire.Method;
 
-/** The methods about connection leases. */
+/** The methods for connection leases. */
 public final class GrantMethods {
-  /** Renews and changes the connections of a proxy to all servers that it names. */
+  /** Renews and changes the connections of a proxy to all servers named in the request. */
   public static final Method<RenewGrantsRequest, RenewGrantsReply> RENEW_GRANTS =
       new Method<>(60, "renew-grants", RenewGrantsRequest.parser(), RenewGrantsReply.parser());
 
--- a/alderyard-protocol/src/main/java/org/alderyard/protocol/grant/package-info.java
+++ b/alderyard-protocol/src/main/java/org/alderyard/protocol/grant/package-info.java
@@ -1,2 +1,5 @@
-/** What proxies ask of the leading control host about connections to backend servers. */
+/**
+ * The methods that proxies call on the leading control host to obtain connections to backend
+ * servers.
+ */
 package org.alderyard.protocol.grant;
--- a/alderyard-protocol/src/main/java/org/alderyard/protocol/package-info.java
+++ b/alderyard-protocol/src/main/java/org/alderyard/protocol/package-info.java
@@ -1,7 +1,8 @@
 /**
  * The inner protocol between the processes of the system: protobuf frames over TCP.
  *
- * <p>{@link org.alderyard.protocol.wire} carries requests and replies; {@link
- * org.alderyard.protocol.view} maps the view of control state to its messages.
+ * <p>{@link org.alderyard.protocol.wire} transports requests and replies; {@link
+ * org.alderyard.protocol.view} converts the view of the control state to and from protobuf
+ * messages.
  */
 package org.alderyard.protocol;
--- a/alderyard-protocol/src/main/java/org/alderyard/protocol/view/StateCodec.java
+++ b/alderyard-protocol/src/main/java/org/alderyard/protocol/view/StateCodec.java
@@ -40,22 +40,22 @@
 import org.alderyard.protocol.generated.state.TermBegin;
 import org.alderyard.protocol.generated.state.Version;
 
-/** Maps each kind of object between its message and its domain type. */
+/** Converts each kind of control state object between its protobuf message and its domain type. */
 public final class StateCodec {
 
   private StateCodec() {}
 
-  /** Returns the message of a version. */
+  /** Converts a view version to its message. */
   public static Version versionMessage(ViewVersion version) {
     return Version.newBuilder().setEpoch(version.epoch()).setVersion(version.version()).build();
   }
 
-  /** Returns the version of a message. */
+  /** Converts a message to a view version. */
   public static ViewVersion version(Version version) {
     return new ViewVersion(version.getEpoch(), version.getVersion());
   }
 
-  /** Returns the message of a pool. */
+  /** Converts a pool to its message. */
   public static Pool poolMessage(PoolState pool) {
     return Pool.newBuilder()
         .setName(pool.name().value())
@@ -67,7 +67,7 @@
         .build();
   }
 
-  /** Returns the pool of a message. */
+  /** Converts a message to a pool. */
   public static PoolState pool(Pool pool) {
     return new PoolState(
         new PoolName(pool.getName()),
@@ -79,7 +79,7 @@
         pool.getMaxConcurrentStatements());
   }
 
-  /** Returns the message of a group. */
+  /** Converts a group to its message. */
   public static Group groupMessage(GroupState group) {
     return Group.newBuilder()
         .setId(group.id().value())
@@ -99,7 +99,7 @@
         .build();
   }
 
-  /** Returns the group of a message. */
+  /** Converts a message to a group. */
   public static GroupState group(Group group) {
     Optional<ServerId> primary =
         group.getPrimary().isEmpty()
@@ -118,7 +118,7 @@
         group.getConnectionsPerServer());
   }
 
-  /** Returns the message of a server. */
+  /** Converts a server to its message. */
   public static Server serverMessage(ServerState server) {
     return Server.newBuilder()
         .setId(server.id().value())
@@ -130,7 +130,7 @@
         .build();
   }
 
-  /** Returns the server of a message. */
+  /** Converts a message to a server. */
   public static ServerState server(Server server) {
     return new ServerState(
         new ServerId(server.getId()),
@@ -141,7 +141,10 @@
         status(server.getStatus()));
   }
 
-  /** A status that a newer peer added is read as one that gets no new work. */
+  /**
+   * Converts a status. An unknown status from a newer peer becomes {@code EXPIRED}, so that the
+   * server receives no new work.
+   */
   private static ServerStatus status(Status status) {
     return switch (status) {
       case ACTIVE -> ServerStatus.ACTIVE;
@@ -151,7 +154,7 @@
     };
   }
 
-  /** Returns the message of a host. */
+  /** Converts a host to its message. */
   public static Host hostMessage(HostState host) {
     return Host.newBuilder()
         .setId(host.id().value())
@@ -165,7 +168,7 @@
         .build();
   }
 
-  /** Returns the host of a message. */
+  /** Converts a message to a host. */
   public static HostState host(Host host) {
     return new HostState(
         new HostId(host.getId()),
@@ -178,23 +181,24 @@
         host.getDraining());
   }
 
-  /** Returns the message of the token keys. */
+  /** Converts the keys of session tokens to their message. */
   public static KeyRing keyRingMessage(List<SigningKey> keys) {
-    KeyRing.Builder ring = KeyRing.newBuilder();
+    KeyRing.Builder keyRing = KeyRing.newBuilder();
     for (SigningKey key : keys) {
-      ring.addKeys(Key.newBuilder().setId(key.id()).setSecret(ByteString.copyFrom(key.secret())));
+      keyRing.addKeys(
+          Key.newBuilder().setId(key.id()).setSecret(ByteString.copyFrom(key.secret())));
     }
-    return ring.build();
+    return keyRing.build();
   }
 
-  /** Returns the token keys of a message. */
-  public static List<SigningKey> keys(KeyRing ring) {
-    return ring.getKeysList().stream()
+  /** Converts a message to the keys of session tokens. */
+  public static List<SigningKey> keys(KeyRing keyRing) {
+    return keyRing.getKeysList().stream()
         .map(key -> new SigningKey(key.getId(), key.getSecret().toByteArray()))
         .toList();
   }
 
-  /** Returns the message of the configuration of sessions. */
+  /** Converts the configuration of sessions to its message. */
   public static Configuration configurationMessage(ConfigurationState configuration) {
     Configuration.Builder message =
         Configuration.newBuilder()
@@ -215,7 +219,7 @@
     return message.build();
   }
 
-  /** Returns the message of a database. */
+  /** Converts a database to its message. */
   public static Database databaseMessage(DatabaseState database) {
     return Database.newBuilder()
         .setName(database.name())
@@ -231,7 +235,7 @@
         .build();
   }
 
-  /** Returns the configuration of sessions of a message. */
+  /** Converts a message to the configuration of sessions. */
   public static ConfigurationState configuration(Configuration message) {
     SortedMap<GroupId, Integer> connections = new TreeMap<>();
     message
@@ -248,7 +252,7 @@
         Bytes.of(message.getContentHash().toByteArray()));
   }
 
-  /** Returns the database of a message. */
+  /** Converts a message to a database. */
   public static DatabaseState database(Database database) {
     return new DatabaseState(
         database.getName(),
@@ -257,7 +261,7 @@
         switch (database.getReads()) {
           case BOUNDED -> SessionReads.BOUNDED;
           case OWN_WRITES -> SessionReads.OWN_WRITES;
-          // What a newer peer added is read as the strictest.
+          // An unknown value from a newer peer becomes the strictest consistency.
           default -> SessionReads.NEWEST;
         },
         database.getStatementTimeoutMillis(),
@@ -266,17 +270,17 @@
         database.getMaxStalenessMillis());
   }
 
-  /** Returns the message of a position in a log. */
+  /** Converts a log position to its message. */
   public static LogPosition positionMessage(Position position) {
     return LogPosition.newBuilder().setTerm(position.term()).setIndex(position.index()).build();
   }
 
-  /** Returns the position of a message. */
+  /** Converts a message to a log position. */
   public static Position position(LogPosition position) {
     return new Position(position.getTerm(), position.getIndex());
   }
 
-  /** Returns the message of an address; its IP number is used, no name is looked up. */
+  /** Converts an address to its message. The host string is used as it is; DNS is not queried. */
   public static Endpoint endpointMessage(InetSocketAddress address) {
     return Endpoint.newBuilder()
         .setAddress(address.getHostString())
@@ -284,7 +288,7 @@
         .build();
   }
 
-  /** Returns the address of a message. */
+  /** Converts a message to an address. */
   public static InetSocketAddress address(Endpoint endpoint) {
     return new InetSocketAddress(endpoint.getAddress(), endpoint.getPort());
   }
--- a/alderyard-protocol/src/main/java/org/alderyard/protocol/view/ViewChain.java
+++ b/alderyard-protocol/src/main/java/org/alderyard/protocol/view/ViewChain.java
@@ -9,10 +9,10 @@
 import org.apache.commons.codec.digest.DigestUtils;
 
 /**
- * The chain of hashes over all deltas.
+ * The hash chain over all deltas of the view.
  *
- * <p>Two views with the same chain hash are the result of the same changes in the same order, so a
- * host may follow any source whose chain continues its own.
+ * <p>Two views with the same chain hash result from the same changes in the same order. A host may
+ * therefore switch to any source whose chain continues the chain of its own view.
  */
 public final class ViewChain {
   /** The chain hash of the empty view. */
@@ -22,33 +22,33 @@
 
   private ViewChain() {}
 
-  /** Returns the delta between two versions, linked to the chain before it. */
+  /** Returns the delta between two versions, with the chain hash that follows the given one. */
   public static ViewDelta link(
-      ByteString before, Version from, Version to, List<ObjectState> objects) {
+      ByteString previousHash, Version from, Version to, List<ObjectState> objects) {
     ByteString objectsHash = objectsHash(objects);
     return ViewDelta.newBuilder()
         .setFrom(from)
         .setTo(to)
         .addAllObjects(objects)
         .setObjectsHash(objectsHash)
-        .setChainHash(next(before, from, to, objectsHash))
+        .setChainHash(nextHash(previousHash, from, to, objectsHash))
         .build();
   }
 
-  /** Returns whether a delta continues the chain whose hash is given. */
-  public static boolean continues(ByteString before, ViewDelta delta) {
-    return next(before, delta.getFrom(), delta.getTo(), delta.getObjectsHash())
+  /** Returns whether a delta continues the chain with the given hash. */
+  public static boolean continues(ByteString previousHash, ViewDelta delta) {
+    return nextHash(previousHash, delta.getFrom(), delta.getTo(), delta.getObjectsHash())
         .equals(delta.getChainHash());
   }
 
-  /** Returns the hash of changed objects. */
+  /** Returns the hash of the changed objects. */
   public static ByteString objectsHash(List<ObjectState> objects) {
     byte[] bytes = ViewDelta.newBuilder().addAllObjects(objects).build().toByteArray();
     return ByteString.copyFrom(DigestUtils.sha256(bytes));
   }
 
-  private static ByteString next(
-      ByteString before, Version from, Version to, ByteString objectsHash) {
+  private static ByteString nextHash(
+      ByteString previousHash, Version from, Version to, ByteString objectsHash) {
     ByteBuffer versions =
         ByteBuffer.allocate(VERSION_BYTES)
             .putLong(from.getEpoch())
@@ -56,7 +56,7 @@
             .putLong(to.getEpoch())
             .putLong(to.getVersion())
             .flip();
-    ByteString input = before.concat(ByteString.copyFrom(versions)).concat(objectsHash);
+    ByteString input = previousHash.concat(ByteString.copyFrom(versions)).concat(objectsHash);
     return ByteString.copyFrom(DigestUtils.sha256(input.toByteArray()));
   }
 }
--- a/alderyard-protocol/src/main/java/org/alderyard/protocol/view/ViewCodec.java
+++ b/alderyard-protocol/src/main/java/org/alderyard/protocol/view/ViewCodec.java
@@ -13,12 +13,12 @@
 import org.alderyard.protocol.generated.state.ObjectState;
 import org.alderyard.protocol.generated.state.ViewSnapshot;
 
-/** Maps whole views, and applies changed objects to a view. */
+/** Converts whole views to and from messages, and applies changed objects to a view. */
 public final class ViewCodec {
 
   private ViewCodec() {}
 
-  /** Returns the message that holds the whole view. */
+  /** Converts a view to a snapshot message. */
   public static ViewSnapshot snapshot(View view) {
     ViewSnapshot.Builder snapshot =
         ViewSnapshot.newBuilder().setVersion(StateCodec.versionMessage(view.version()));
@@ -48,12 +48,12 @@
     return ObjectState.newBuilder();
   }
 
-  /** Returns the view that a snapshot holds. */
+  /** Converts a snapshot message to a view. */
   public static View view(ViewSnapshot snapshot) {
     return apply(View.EMPTY, StateCodec.version(snapshot.getVersion()), snapshot.getObjectsList());
   }
 
-  /** Returns the view with the given objects replaced or removed. */
+  /** Returns a view in which the given objects are replaced or removed. */
   public static View apply(View base, ViewVersion version, List<ObjectState> objects) {
     View.Editor editor = base.edit();
     for (ObjectState object : objects) {
@@ -79,12 +79,14 @@
         case CONFIGURATION ->
             editor.configuration(StateCodec.configuration(object.getConfiguration()));
         case HOST_POLICY, REMOVED_HOST_POLICY -> {
-          // Views carry the effect of a policy in the host itself.
+          // Views contain the effect of a policy in the host object itself.
         }
         case OBJECT_NOT_SET -> {
-          // A kind of object that a newer peer added: this build does not act on it.
+          // The peer is newer and sent a kind of object that this build does not support.
         }
-        default -> throw new IllegalStateException("unmapped kind " + object.getObjectCase());
+        default ->
+            throw new IllegalStateException(
+                "unsupported kind of object: " + object.getObjectCase());
       }
     }
     return editor.at(version);
--- a/alderyard-protocol/src/main/java/org/alderyard/protocol/view/ViewFollower.java
+++ b/alderyard-protocol/src/main/java/org/alderyard/protocol/view/ViewFollower.java
@@ -8,41 +8,41 @@
 import org.alderyard.protocol.generated.state.ViewSnapshot;
 
 /**
- * A view built from a confirmed snapshot and the deltas after it; immutable.
+ * A view that is built from a confirmed snapshot and the deltas after it; immutable.
  *
- * <p>Messages may be lost, repeated or late: what does not continue the chain leaves the view as it
- * is, and the result says why.
+ * <p>Messages may be lost, repeated or late. A message that does not continue the hash chain leaves
+ * the view unchanged, and the result contains the reason.
  *
  * @param view the view
- * @param chainHash the hash of all deltas up to it
+ * @param chainHash the hash of all deltas up to the version of the view
  */
 public record ViewFollower(View view, ByteString chainHash) {
-  /** A follower that has seen nothing. */
+  /** A follower that has not received any message. */
   public static final ViewFollower EMPTY = new ViewFollower(View.EMPTY, ViewChain.START);
 
-  /** What became of a message. */
+  /** The effect of a message. */
   public enum Reason {
-    /** The view is newer now. */
+    /** The view has advanced to a newer version. */
     ADVANCED,
-    /** The message holds nothing newer: a repeated or a late one. */
+    /** The message contains nothing newer, because it is repeated or late. */
     NOTHING_NEW,
-    /** A delta between is missing. */
+    /** A delta between the view and the message is missing. */
     GAP,
-    /** The sender's history is not the one of this view. */
+    /** The sender's history differs from the history of this view. */
     CHAIN_BROKEN,
-    /** The objects are not the ones that the sender hashed. */
+    /** The objects do not match the hash of the sender. */
     CONTENT_DAMAGED
   }
 
   /**
    * The follower after a message.
    *
-   * @param follower the state to go on with
-   * @param reason what became of the message
+   * @param follower the follower to continue with
+   * @param reason the effect of the message
    */
   public record Result(ViewFollower follower, Reason reason) {
 
-    /** Returns whether only a snapshot brings the follower forward. */
+    /** Returns whether the follower needs a snapshot to advance. */
     public boolean needsSnapshot() {
       return reason == Reason.GAP
           || reason == Reason.CHAIN_BROKEN
@@ -50,7 +50,7 @@
     }
   }
 
-  /** Takes a confirmed snapshot, if it is newer. */
+  /** Replaces the view by a confirmed snapshot, if the snapshot is newer. */
   public Result accept(ViewSnapshot snapshot, ByteString snapshotChainHash) {
     ViewVersion version = StateCodec.version(snapshot.getVersion());
     if (version.compareTo(view.version()) <= 0) {
@@ -60,25 +60,25 @@
         new ViewFollower(ViewCodec.view(snapshot), snapshotChainHash), Reason.ADVANCED);
   }
 
-  /** Applies deltas in order, up to the first that does not fit. */
+  /** Applies deltas in order, up to the first one that does not continue the chain. */
   public Result accept(ViewDeltas deltas) {
     ViewFollower current = this;
     Reason reason = Reason.NOTHING_NEW;
     for (ViewDelta delta : deltas.getDeltasList()) {
-      Reason fit = current.fit(delta, deltas.getFiltered());
-      if (fit == Reason.NOTHING_NEW) {
+      Reason effect = current.check(delta, deltas.getFiltered());
+      if (effect == Reason.NOTHING_NEW) {
         continue;
       }
-      if (fit != Reason.ADVANCED) {
-        return new Result(current, fit);
+      if (effect != Reason.ADVANCED) {
+        return new Result(current, effect);
       }
-      reason = fit;
+      reason = effect;
       current = current.apply(delta);
     }
     return new Result(current, reason);
   }
 
-  private Reason fit(ViewDelta delta, boolean filtered) {
+  private Reason check(ViewDelta delta, boolean filtered) {
     if (StateCodec.version(delta.getTo()).compareTo(view.version()) <= 0) {
       return Reason.NOTHING_NEW;
     }
@@ -88,9 +88,9 @@
     if (!ViewChain.continues(chainHash, delta)) {
       return Reason.CHAIN_BROKEN;
     }
-    boolean whole =
+    boolean intact =
         filtered || ViewChain.objectsHash(delta.getObjectsList()).equals(delta.getObjectsHash());
-    return whole ? Reason.ADVANCED : Reason.CONTENT_DAMAGED;
+    return intact ? Reason.ADVANCED : Reason.CONTENT_DAMAGED;
   }
 
   private ViewFollower apply(ViewDelta delta) {
--- a/alderyard-protocol/src/main/java/org/alderyard/protocol/view/package-info.java
+++ b/alderyard-protocol/src/main/java/org/alderyard/protocol/view/package-info.java
@@ -1,2 +1,2 @@
-/** The mapping between the view of control state and its messages. */
+/** The conversion of the view of the control state to and from protobuf messages. */
 package org.alderyard.protocol.view;
--- a/alderyard-protocol/src/main/java/org/alderyard/protocol/wire/BoundedFrameDecoder.java
+++ b/alderyard-protocol/src/main/java/org/alderyard/protocol/wire/BoundedFrameDecoder.java
@@ -7,16 +7,16 @@
 import java.util.List;
 
 /**
- * Cuts the byte stream into frames of a varint length and its bytes.
+ * Splits the byte stream into frames that consist of a varint length and that number of bytes.
  *
- * <p>Guards against a peer that states a huge length: without the limit the decoder would collect
- * bytes until the process runs out of memory. The length is checked before any byte is kept.
+ * <p>The length is checked before any byte of a frame is buffered. Without the limit, a peer that
+ * states a huge length would make the decoder buffer bytes until the process runs out of memory.
  */
 final class BoundedFrameDecoder extends ByteToMessageDecoder {
-  private static final int VARINT_SHIFT = 7;
+  private static final int VARINT_BITS_PER_BYTE = 7;
   private static final int VARINT_MAX_BYTES = 5;
-  private static final int VARINT_MORE = 0x80;
-  private static final int VARINT_BITS = 0x7f;
+  private static final int VARINT_CONTINUATION_BIT = 0x80;
+  private static final int VARINT_PAYLOAD_MASK = 0x7f;
 
   private volatile int maxFrameBytes;
 
@@ -35,20 +35,20 @@
     int length = 0;
     for (int read = 0; ; read++) {
       if (read == VARINT_MAX_BYTES) {
-        throw new CorruptedFrameException("a length of more than 5 bytes");
+        throw new CorruptedFrameException("the varint length of a frame exceeds 5 bytes");
       }
       if (!in.isReadable()) {
         in.resetReaderIndex();
         return;
       }
       int next = in.readByte();
-      length |= (next & VARINT_BITS) << (read * VARINT_SHIFT);
-      if ((next & VARINT_MORE) == 0) {
+      length |= (next & VARINT_PAYLOAD_MASK) << (read * VARINT_BITS_PER_BYTE);
+      if ((next & VARINT_CONTINUATION_BIT) == 0) {
         break;
       }
     }
     if (length < 0 || length > maxFrameBytes) {
-      throw new CorruptedFrameException("a frame of " + length + " bytes");
+      throw new CorruptedFrameException("invalid frame length of " + length + " bytes");
     }
     if (in.readableBytes() < length) {
       in.resetReaderIndex();
--- a/alderyard-protocol/src/main/java/org/alderyard/protocol/wire/ClusterKey.java
+++ b/alderyard-protocol/src/main/java/org/alderyard/protocol/wire/ClusterKey.java
@@ -9,16 +9,23 @@
 import org.alderyard.common.error.ErrorCode;
 import org.alderyard.protocol.generated.envelope.Hello;
 
-/** The secret that the hosts of one cluster share; it proves that a peer belongs to it. */
+/**
+ * The shared secret of the hosts of a cluster, by which a peer proves that it belongs to the
+ * cluster.
+ */
 public final class ClusterKey {
-  /** The shortest secret that is accepted, in bytes. */
+  /** The minimum length of a secret, in bytes. */
   public static final int MIN_BYTES = 16;
 
   private static final String ALGORITHM = "HmacSHA256";
 
   private final SecretKeySpec key;
 
-  /** Checks and copies the secret. */
+  /**
+   * Validates and copies the secret.
+   *
+   * @throws AlderyardException with {@code SETTINGS_INVALID} if the secret is too short
+   */
   public ClusterKey(byte[] secret) {
     if (secret.length < MIN_BYTES) {
       throw AlderyardException.notRun(
@@ -28,8 +35,11 @@
     key = new SecretKeySpec(secret, ALGORITHM);
   }
 
-  /** Returns the proof that one side of a handshake sends: both hellos and the side are signed. */
-  byte[] prove(String side, Hello client, Hello server) {
+  /**
+   * Returns the HMAC that one side of a handshake sends. It covers both hellos and the name of the
+   * side.
+   */
+  byte[] computeProof(String side, Hello client, Hello server) {
     try {
       Mac mac = Mac.getInstance(ALGORITHM);
       mac.init(key);
@@ -37,13 +47,14 @@
       mac.update(client.toByteArray());
       mac.update(server.toByteArray());
       return mac.doFinal();
-    } catch (GeneralSecurityException missing) {
-      throw AlderyardException.notRun(ErrorCode.INTERNAL, "no HMAC in this runtime: " + missing);
+    } catch (GeneralSecurityException unavailable) {
+      throw AlderyardException.notRun(
+          ErrorCode.INTERNAL, "HMAC is not available in this Java runtime: " + unavailable);
     }
   }
 
   boolean verify(ByteString proof, String side, Hello client, Hello server) {
-    return MessageDigest.isEqual(proof.toByteArray(), prove(side, client, server));
+    return MessageDigest.isEqual(proof.toByteArray(), computeProof(side, client, server));
   }
 
   @Override
--- a/alderyard-protocol/src/main/java/org/alderyard/protocol/wire/Dispatcher.java
+++ b/alderyard-protocol/src/main/java/org/alderyard/protocol/wire/Dispatcher.java
@@ -9,22 +9,26 @@
 import org.alderyard.common.error.AlderyardException;
 import org.alderyard.common.error.ErrorCode;
 
-/** The methods that a process serves. */
+/** Dispatches requests to the handlers of the methods that a process serves. */
 public final class Dispatcher {
   private final Map<Integer, RawHandler> handlers = new ConcurrentHashMap<>();
 
-  /** Adds a method; a second handler for the same number is a programming error. */
+  /**
+   * Registers the handler of a method.
+   *
+   * @throws IllegalStateException if the method number already has a handler
+   */
   public <Q extends MessageLite, R extends MessageLite> Dispatcher serve(
       Method<Q, R> method, MethodHandler<Q, R> handler) {
     RawHandler raw =
-        (peer, payload) -> handler.handle(peer, parse(method, payload)).thenApply(r -> r);
+        (peer, payload) -> handler.handle(peer, parse(method, payload)).thenApply(reply -> reply);
     if (handlers.putIfAbsent(method.number(), raw) != null) {
-      throw new IllegalStateException("method " + method.number() + " is served already");
+      throw new IllegalStateException("method " + method.number() + " already has a handler");
     }
     return this;
   }
 
-  /** Answers one request; a failure of any kind is in the future. */
+  /** Handles one request; failures of any kind complete the future exceptionally. */
   CompletableFuture<MessageLite> dispatch(PeerIdentity peer, int method, ByteString payload) {
     RawHandler handler = handlers.get(method);
     if (handler == null) {
--- a/alderyard-protocol/src/main/java/org/alderyard/protocol/wire/EventLoops.java
+++ b/alderyard-protocol/src/main/java/org/alderyard/protocol/wire/EventLoops.java
@@ -5,32 +5,34 @@
 import io.netty.channel.nio.NioIoHandler;
 import java.util.concurrent.TimeUnit;
 
-/** The network threads that the connections of one process share. */
+/** The network threads that all connections of a process share. */
 public final class EventLoops implements AutoCloseable {
-  private static final long QUIET_MILLIS = 0;
+  private static final long QUIET_PERIOD_MILLIS = 0;
   private static final long CLOSE_TIMEOUT_MILLIS = 2_000;
 
-  /** The library's names of the properties by which a process states what is asked of it below. */
+  /** Netty's system properties for values that it determines itself if they are not set. */
   private static final String MACHINE_ID = "io.netty.machineId";
 
   private static final String PROCESS_ID = "io.netty.processId";
 
-  private static final String RECORDED_EVENTS = "io.netty.jfr.enabled";
+  private static final String JFR_ENABLED = "io.netty.jfr.enabled";
 
-  /** Any hardware address: it only goes into names of channels that this process alone uses. */
-  private static final String ANY_MACHINE = "02:00:00:00:00:00:00:01";
+  /**
+   * A placeholder hardware address: it is only part of channel IDs, which are local to the process.
+   */
+  private static final String PLACEHOLDER_MACHINE_ID = "02:00:00:00:00:00:00:01";
 
   static {
-    // Else the library looks at all network interfaces and management beans of the process, and
-    // prepares to record its buffers, which takes part of each start.
-    setIfAbsent(MACHINE_ID, ANY_MACHINE);
+    // Without these properties, Netty inspects all network interfaces and management beans of the
+    // process and prepares to record buffer events, which slows down each start.
+    setIfAbsent(MACHINE_ID, PLACEHOLDER_MACHINE_ID);
     setIfAbsent(PROCESS_ID, Long.toString(ProcessHandle.current().pid()));
-    setIfAbsent(RECORDED_EVENTS, "false");
+    setIfAbsent(JFR_ENABLED, "false");
   }
 
   private final EventLoopGroup group;
 
-  /** Starts the threads. */
+  /** Starts the given number of threads. */
   public EventLoops(int threads) {
     group = new MultiThreadIoEventLoopGroup(threads, NioIoHandler.newFactory());
   }
@@ -41,7 +43,7 @@
     }
   }
 
-  /** Returns the threads for the channels of other protocols. */
+  /** Returns the event loop group, for the channels of other protocols. */
   public EventLoopGroup group() {
     return group;
   }
@@ -49,7 +51,7 @@
   @Override
   public void close() {
     group
-        .shutdownGracefully(QUIET_MILLIS, CLOSE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
+        .shutdownGracefully(QUIET_PERIOD_MILLIS, CLOSE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
         .awaitUninterruptibly(CLOSE_TIMEOUT_MILLIS);
   }
 }
--- a/alderyard-protocol/src/main/java/org/alderyard/protocol/wire/Frames.java
+++ b/alderyard-protocol/src/main/java/org/alderyard/protocol/wire/Frames.java
@@ -12,7 +12,7 @@
 import org.alderyard.protocol.generated.envelope.Reply;
 import org.alderyard.protocol.generated.envelope.Request;
 
-/** Builds and reads the frames of requests and replies. */
+/** Encodes requests, replies and errors as frames, and decodes errors. */
 final class Frames {
 
   private Frames() {}
@@ -48,7 +48,10 @@
         .build();
   }
 
-  /** Returns the error that a reply carries; names that this build doesn't know are unknown. */
+  /**
+   * Returns the error that a reply contains. A code or outcome that this build does not know
+   * becomes {@code INTERNAL} with an unknown outcome.
+   */
   static AlderyardException toException(ErrorReply error) {
     ErrorCode code = ErrorCode.INTERNAL;
     Outcome outcome = Outcome.OUTCOME_UNKNOWN;
--- a/alderyard-protocol/src/main/java/org/alderyard/protocol/wire/HandshakeHandler.java
+++ b/alderyard-protocol/src/main/java/org/alderyard/protocol/wire/HandshakeHandler.java
@@ -18,11 +18,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Authenticates both sides of a new connection before any request passes.
+ * Authenticates both sides of a new connection before any request is accepted.
  *
- * <p>Guards against a process of another cluster, or one without the key, that connects to the
- * inner port: each side signs both hellos, which hold a fresh nonce of each, so that a recorded
- * handshake can't be replayed and a proof can't be sent back to its maker.
+ * <p>Each side signs both hellos, which contain a fresh nonce of each side. A process of another
+ * cluster or without the key is rejected, a recorded handshake can't be replayed, and a proof can't
+ * be reflected to its sender.
  */
 final class HandshakeHandler extends SimpleChannelInboundHandler<Envelope> {
   private static final Logger log = LoggerFactory.getLogger(HandshakeHandler.class);
@@ -31,20 +31,21 @@
   private static final String CLIENT = "client";
   private static final String SERVER = "server";
 
-  /** The id in an error that answers no request. */
+  /** The correlation ID of an error that does not belong to a request. */
   private static final long NO_REQUEST = 0;
 
   private final ProtocolOptions options;
   private final boolean client;
-  private final CompletableFuture<PeerIdentity> done;
+  private final CompletableFuture<PeerIdentity> handshake;
   private final Hello ownHello;
   private Hello peerHello;
 
-  HandshakeHandler(ProtocolOptions options, boolean client, CompletableFuture<PeerIdentity> done) {
+  HandshakeHandler(
+      ProtocolOptions options, boolean client, CompletableFuture<PeerIdentity> handshake) {
     super(Envelope.class);
     this.options = options;
     this.client = client;
-    this.done = done;
+    this.handshake = handshake;
     byte[] nonce = new byte[NONCE_BYTES];
     RANDOM.nextBytes(nonce);
     ownHello =
@@ -63,8 +64,8 @@
     ctx.executor()
         .schedule(
             () -> {
-              if (!done.isDone()) {
-                lose(ctx, "no handshake within " + options.connectTimeout());
+              if (!handshake.isDone()) {
+                failHandshake(ctx, "handshake not completed within " + options.connectTimeout());
               }
             },
             options.connectTimeout().toMillis(),
@@ -80,22 +81,27 @@
       case HELLO -> onHello(ctx, frame.getHello());
       case HELLO_PROOF -> onProof(ctx, frame.getHelloProof());
       case ERROR -> rejectedByPeer(ctx);
-      default -> reject(ctx, "a " + frame.getFrameCase() + " frame before the handshake");
+      default -> reject(ctx, "received a " + frame.getFrameCase() + " frame before the handshake");
     }
   }
 
   private void onHello(ChannelHandlerContext ctx, Hello hello) {
     if (peerHello != null) {
-      reject(ctx, "a second hello");
+      reject(ctx, "received a second hello");
       return;
     }
     if (!hello.getClusterId().equals(options.clusterId())) {
-      reject(ctx, "cluster id '" + hello.getClusterId() + "'");
+      reject(ctx, "unexpected cluster id '" + hello.getClusterId() + "'");
       return;
     }
     if (hello.getProtocolMin() > ProtocolOptions.PROTOCOL_MAX
         || hello.getProtocolMax() < ProtocolOptions.PROTOCOL_MIN) {
-      reject(ctx, "protocol " + hello.getProtocolMin() + " to " + hello.getProtocolMax());
+      reject(
+          ctx,
+          "unsupported protocol versions "
+              + hello.getProtocolMin()
+              + " to "
+              + hello.getProtocolMax());
       return;
     }
     peerHello = hello;
@@ -108,14 +114,14 @@
 
   private void onProof(ChannelHandlerContext ctx, HelloProof proof) {
     if (peerHello == null) {
-      reject(ctx, "a proof before the hello");
+      reject(ctx, "received a proof before the hello");
       return;
     }
     String peerSide = client ? SERVER : CLIENT;
     boolean valid =
         options.clusterKey().verify(proof.getHmac(), peerSide, clientHello(), serverHello());
     if (!valid) {
-      reject(ctx, "a wrong proof");
+      reject(ctx, "the proof is invalid");
       return;
     }
     if (!client) {
@@ -128,18 +134,18 @@
     PeerIdentity peer;
     try {
       peer = new PeerIdentity(new HostId(peerHello.getHostId()), peerHello.getIncarnation());
-    } catch (AlderyardException badName) {
-      reject(ctx, badName.getMessage());
+    } catch (AlderyardException invalidName) {
+      reject(ctx, invalidName.getMessage());
       return;
     }
     ctx.pipeline().get(BoundedFrameDecoder.class).raiseLimit(ProtocolOptions.MAX_FRAME_BYTES);
     ctx.pipeline().remove(this);
-    done.complete(peer);
+    handshake.complete(peer);
   }
 
   private void sendProof(ChannelHandlerContext ctx) {
     byte[] hmac =
-        options.clusterKey().prove(client ? CLIENT : SERVER, clientHello(), serverHello());
+        options.clusterKey().computeProof(client ? CLIENT : SERVER, clientHello(), serverHello());
     ctx.writeAndFlush(
         Envelope.newBuilder()
             .setHelloProof(HelloProof.newBuilder().setHmac(ByteString.copyFrom(hmac)))
@@ -154,56 +160,62 @@
     return client ? peerHello : ownHello;
   }
 
-  /** Tells the peer why as well: a plain close would look like a lost connection to it. */
+  /**
+   * Sends the reason to the peer before closing: the peer would take a plain close for a lost
+   * connection.
+   */
   private void reject(ChannelHandlerContext ctx, String reason) {
-    ctx.writeAndFlush(Frames.error(NO_REQUEST, rejection(ctx, reason)))
+    ctx.writeAndFlush(Frames.error(NO_REQUEST, failRejected(ctx, reason)))
         .addListener(ChannelFutureListener.CLOSE);
   }
 
-  private AlderyardException rejection(ChannelHandlerContext ctx, String reason) {
+  private AlderyardException failRejected(ChannelHandlerContext ctx, String reason) {
     log.warn("event=peer-rejected peer={} reason=\"{}\"", ctx.channel().remoteAddress(), reason);
     AlderyardException rejection =
         AlderyardException.notRun(ErrorCode.PEER_REJECTED, "peer rejected: " + reason);
-    done.completeExceptionally(rejection);
+    handshake.completeExceptionally(rejection);
     return rejection;
   }
 
-  /** The peer's words go into no line: it has proved nothing yet. Its own log has the reason. */
+  /**
+   * Handles a rejection by the peer. The peer's message is not logged because the peer is not
+   * authenticated; the log of the peer contains the reason.
+   */
   private void rejectedByPeer(ChannelHandlerContext ctx) {
     log.warn("event=rejected-by-peer peer={}", ctx.channel().remoteAddress());
-    done.completeExceptionally(
+    handshake.completeExceptionally(
         AlderyardException.notRun(ErrorCode.PEER_REJECTED, "the peer rejected this host"));
     ctx.close();
   }
 
   /**
-   * Ends a handshake that the network or a stopped peer broke.
+   * Fails a handshake that was interrupted by the network or an unresponsive peer.
    *
-   * <p>Guards against blame for it: a host that is frozen accepts connections and says nothing, and
-   * an operator whose change went through this host was told that it is not allowed, instead of
-   * being sent on.
+   * <p>The failure must not count as a rejection. A frozen host accepts connections and sends
+   * nothing; as a rejection, this was reported to an operator as a change that is not allowed,
+   * instead of being retried at another host.
    */
-  private void lose(ChannelHandlerContext ctx, String reason) {
+  private void failHandshake(ChannelHandlerContext ctx, String reason) {
     log.info("event=handshake-lost peer={} reason=\"{}\"", ctx.channel().remoteAddress(), reason);
-    done.completeExceptionally(AlderyardException.notRun(ErrorCode.CONNECTION_LOST, reason));
+    handshake.completeExceptionally(AlderyardException.notRun(ErrorCode.CONNECTION_LOST, reason));
     ctx.close();
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    done.completeExceptionally(
+    handshake.completeExceptionally(
         AlderyardException.notRun(
-            ErrorCode.CONNECTION_LOST, "the connection ended during the handshake"));
+            ErrorCode.CONNECTION_LOST, "the connection was closed during the handshake"));
     ctx.fireChannelInactive();
   }
 
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     if (cause instanceof IOException) {
-      lose(ctx, "the connection broke: " + cause.getMessage());
+      failHandshake(ctx, "the connection failed: " + cause.getMessage());
     } else {
-      // Who sends no frames reads none.
-      rejection(ctx, "a damaged frame: " + cause.getMessage());
+      // A peer that sends invalid frames can't read an error frame.
+      failRejected(ctx, "invalid frame: " + cause.getMessage());
       ctx.close();
     }
   }
--- a/alderyard-protocol/src/main/java/org/alderyard/protocol/wire/InnerServer.java
+++ b/alderyard-protocol/src/main/java/org/alderyard/protocol/wire/InnerServer.java
@@ -22,7 +22,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Listens on the inner port and hands requests of authenticated peers to the dispatcher. */
+/** Listens on the inner port and passes requests of authenticated peers to the dispatcher. */
 public final class InnerServer implements AutoCloseable {
   private static final Logger log = LoggerFactory.getLogger(InnerServer.class);
 
@@ -32,7 +32,11 @@
   private final ChannelGroup connections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
   private final Channel listener;
 
-  /** Binds the port; a port in use is a typed error that names it. */
+  /**
+   * Binds the port.
+   *
+   * @throws AlderyardException with {@code SETTINGS_INVALID} if the address can't be bound
+   */
   public InnerServer(
       EventLoops loops,
       InetSocketAddress address,
@@ -60,11 +64,14 @@
                     accept(channel);
                   }
                 });
-    var bound = bootstrap.bind(address).awaitUninterruptibly();
-    if (bound.isSuccess()) {
-      return bound.channel();
+    var bindResult = bootstrap.bind(address).awaitUninterruptibly();
+    if (bindResult.isSuccess()) {
+      return bindResult.channel();
     }
-    String reason = bound.cause() instanceof BindException ? "in use" : bound.cause().toString();
+    String reason =
+        bindResult.cause() instanceof BindException
+            ? "the address is in use"
+            : bindResult.cause().toString();
     throw AlderyardException.notRun(
         ErrorCode.SETTINGS_INVALID, "inner port " + address + " can't be bound: " + reason);
   }
@@ -79,7 +86,7 @@
         });
   }
 
-  /** Returns the address that is bound, with the real port when 0 was asked for. */
+  /** Returns the bound address, with the assigned port if port 0 was requested. */
   public InetSocketAddress address() {
     return (InetSocketAddress) listener.localAddress();
   }
@@ -90,10 +97,13 @@
     connections.close().awaitUninterruptibly();
   }
 
-  /** Reads requests of one connection; stops reading while too many are unanswered. */
+  /**
+   * Handles the requests of one connection. Reading is suspended while too many requests have no
+   * reply.
+   */
   private final class RequestHandler extends SimpleChannelInboundHandler<Envelope> {
     private final PeerIdentity peer;
-    private final AtomicInteger outstanding = new AtomicInteger();
+    private final AtomicInteger unanswered = new AtomicInteger();
 
     RequestHandler(PeerIdentity peer) {
       super(Envelope.class);
@@ -117,22 +127,22 @@
     }
 
     private void onRequest(Channel channel, Request request) {
-      if (outstanding.incrementAndGet() >= options.maxOutstanding()) {
+      if (unanswered.incrementAndGet() >= options.maxOutstanding()) {
         channel.config().setAutoRead(false);
       }
       workers.execute(
           () ->
               dispatcher
                   .dispatch(peer, request.getMethod(), request.getPayload())
-                  .whenComplete((reply, failure) -> answer(channel, request, reply, failure)));
+                  .whenComplete((reply, failure) -> sendReply(channel, request, reply, failure)));
     }
 
-    private void answer(
+    private void sendReply(
         Channel channel,
         Request request,
         com.google.protobuf.MessageLite reply,
         Throwable failure) {
-      if (outstanding.decrementAndGet() < options.maxOutstanding()) {
+      if (unanswered.decrementAndGet() < options.maxOutstanding()) {
         channel.config().setAutoRead(true);
       }
       long id = request.getCorrelationId();
--- a/alderyard-protocol/src/main/java/org/alderyard/protocol/wire/MethodHandler.java
+++ b/alderyard-protocol/src/main/java/org/alderyard/protocol/wire/MethodHandler.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Answers one kind of request.
+ * Handles the requests of one method.
  *
  * @param <Q> the type of the request
  * @param <R> the type of the reply
--- a/alderyard-protocol/src/main/java/org/alderyard/protocol/wire/PeerLink.java
+++ b/alderyard-protocol/src/main/java/org/alderyard/protocol/wire/PeerLink.java
@@ -27,16 +27,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The connection to one other process: opened when first used, and again after it broke.
+ * A connection to one other process, opened at the first use and reopened after a failure.
  *
- * <p>A request that was not written fails as {@code NOT_RUN}; one that was written and has no reply
- * fails as {@code OUTCOME_UNKNOWN}, since the peer may have acted on it.
+ * <p>A request that was not written fails as {@code NOT_RUN}. A request that was written and has no
+ * reply fails as {@code OUTCOME_UNKNOWN}, since the peer may have executed it.
  */
 public final class PeerLink implements AutoCloseable {
   private static final Logger log = LoggerFactory.getLogger(PeerLink.class);
 
-  /** A shorter wait may be a pause of the peer, and is no reason to fail its other requests. */
-  private static final Duration MIN_SILENCE = Duration.ofMillis(700);
+  /**
+   * A shorter interval may be a pause of the peer and must not fail the other requests of the
+   * connection.
+   */
+  private static final Duration MIN_READ_IDLE_TIME = Duration.ofMillis(700);
 
   private final EventLoops loops;
   private final InetSocketAddress address;
@@ -46,10 +49,10 @@
   private final MonotonicClock clock;
 
   // Guarded by lock; null before the first use and after a failure.
-  private CompletableFuture<Connection> current;
+  private CompletableFuture<Connection> connectionFuture;
   private boolean closed;
 
-  /** Creates a link that is not connected yet. */
+  /** Creates a link that connects at its first use. */
   public PeerLink(
       EventLoops loops, InetSocketAddress address, ProtocolOptions options, MonotonicClock clock) {
     this.loops = loops;
@@ -58,36 +61,41 @@
     this.clock = clock;
   }
 
-  /** Returns where the peer listens. */
+  /** Returns the address on which the peer listens. */
   public InetSocketAddress address() {
     return address;
   }
 
-  /** Sends a request; the future has the reply, or fails with a typed error. */
+  /** Sends a request. The future completes with the reply or fails with a typed error. */
   public <Q extends MessageLite, R extends MessageLite> CompletableFuture<R> call(
       Method<Q, R> method, Q request, Duration timeout) {
-    return call(method, request, timeout, MIN_SILENCE);
+    return call(method, request, timeout, MIN_READ_IDLE_TIME);
   }
 
   /**
-   * Sends a request, of which a peer under load may leave some without a reply in time.
+   * Sends a request to a peer that may leave some requests without a timely reply under load.
    *
-   * @param silence for how long nothing must have come for the connection to be given up
-   * @return the reply, or a typed error
+   * @param readIdleTimeout the time without any received frame after which the connection is closed
+   *     if the request times out
+   * @return the reply, or a future that fails with a typed error
    */
   public <Q extends MessageLite, R extends MessageLite> CompletableFuture<R> call(
-      Method<Q, R> method, Q request, Duration timeout, Duration silence) {
+      Method<Q, R> method, Q request, Duration timeout, Duration readIdleTimeout) {
     return connection()
         .thenCompose(
             connection ->
                 connection.send(
-                    method.number(), method.name(), request.toByteString(), timeout, silence))
+                    method.number(),
+                    method.name(),
+                    request.toByteString(),
+                    timeout,
+                    readIdleTimeout))
         .thenApply(payload -> parse(method, payload));
   }
 
   /**
-   * Returns a future that is done when there is a connection, and fails with {@code NOT_RUN} when
-   * there is none within the time; connecting goes on for later requests.
+   * Returns a future that completes once the link is connected and fails with {@code NOT_RUN} after
+   * the given time. The connection attempt continues for later requests.
    */
   public CompletableFuture<Void> connected(Duration limit) {
     CompletableFuture<Void> open = connection().thenApply(connection -> null);
@@ -102,10 +110,12 @@
                             "no connection to " + address + ": " + Futures.typed(failure).code())));
   }
 
-  /** Returns whether there is a connection now. */
+  /** Returns whether the link is currently connected. */
   public boolean isConnected() {
     synchronized (lock) {
-      return current != null && current.isDone() && !current.isCompletedExceptionally();
+      return connectionFuture != null
+          && connectionFuture.isDone()
+          && !connectionFuture.isCompletedExceptionally();
     }
   }
 
@@ -124,10 +134,10 @@
         return CompletableFuture.failedFuture(
             AlderyardException.notRun(ErrorCode.CONNECTION_LOST, "the link is closed"));
       }
-      if (current == null || current.isCompletedExceptionally()) {
-        current = connect();
+      if (connectionFuture == null || connectionFuture.isCompletedExceptionally()) {
+        connectionFuture = connect();
       }
-      return current;
+      return connectionFuture;
     }
   }
 
@@ -171,10 +181,10 @@
     result.complete(connection);
   }
 
-  private void forget(CompletableFuture<Connection> broken) {
+  private void discard(CompletableFuture<Connection> failed) {
     synchronized (lock) {
-      if (current == broken) {
-        current = null;
+      if (connectionFuture == failed) {
+        connectionFuture = null;
       }
     }
   }
@@ -184,20 +194,21 @@
     CompletableFuture<Connection> last;
     synchronized (lock) {
       closed = true;
-      last = current;
-      current = null;
+      last = connectionFuture;
+      connectionFuture = null;
     }
     if (last != null) {
       last.thenAccept(connection -> connection.channel.close());
     }
   }
 
-  /** One authenticated connection and the requests that wait on it. */
+  /** An authenticated connection and its requests without a reply. */
   private final class Connection extends SimpleChannelInboundHandler<Envelope> {
     private final Channel channel;
     private final CompletableFuture<Connection> self;
-    private final Map<Long, CompletableFuture<ByteString>> waiting = new ConcurrentHashMap<>();
-    private volatile boolean broken;
+    private final Map<Long, CompletableFuture<ByteString>> pendingReplies =
+        new ConcurrentHashMap<>();
+    private volatile boolean failed;
     private volatile long framesRead;
     private volatile long lastReadNanos = clock.nowNanos();
 
@@ -208,20 +219,20 @@
     }
 
     CompletableFuture<ByteString> send(
-        int method, String name, ByteString payload, Duration timeout, Duration silence) {
-      if (waiting.size() >= options.maxOutstanding()) {
+        int method, String name, ByteString payload, Duration timeout, Duration readIdleTimeout) {
+      if (pendingReplies.size() >= options.maxOutstanding()) {
         return CompletableFuture.failedFuture(
             AlderyardException.notRun(
                 ErrorCode.OVERLOADED, "too many requests without a reply at " + address));
       }
       long id = nextCorrelationId.getAndIncrement();
-      final long readBefore = framesRead;
-      CompletableFuture<ByteString> answer = new CompletableFuture<>();
-      waiting.put(id, answer);
-      if (broken) {
-        // The connection broke between the look-up and the registration above: nobody else would
+      final long framesReadBefore = framesRead;
+      CompletableFuture<ByteString> reply = new CompletableFuture<>();
+      pendingReplies.put(id, reply);
+      if (failed) {
+        // The connection failed between the lookup and the registration above: nothing else would
         // complete this future, and the request was never written.
-        waiting.remove(id);
+        pendingReplies.remove(id);
         return CompletableFuture.failedFuture(
             AlderyardException.notRun(ErrorCode.CONNECTION_LOST, "connection lost: " + address));
       }
@@ -238,11 +249,12 @@
               .eventLoop()
               .schedule(
                   () -> {
-                    CompletableFuture<ByteString> late = waiting.remove(id);
-                    if (late != null) {
-                      // First: who gets the failure may ask again at once.
-                      closeIfSilent(readBefore, timeout, silence);
-                      late.completeExceptionally(
+                    CompletableFuture<ByteString> expired = pendingReplies.remove(id);
+                    if (expired != null) {
+                      // Closed before the failure is reported: the receiver of the failure may
+                      // retry immediately.
+                      closeIfUnresponsive(framesReadBefore, timeout, readIdleTimeout);
+                      expired.completeExceptionally(
                           new AlderyardException(
                               ErrorCode.DEADLINE_EXCEEDED,
                               Outcome.OUTCOME_UNKNOWN,
@@ -251,26 +263,27 @@
                   },
                   timeout.toNanos(),
                   TimeUnit.NANOSECONDS);
-      answer.whenComplete((reply, failure) -> timer.cancel(false));
-      return answer;
+      reply.whenComplete((receivedPayload, failure) -> timer.cancel(false));
+      return reply;
     }
 
     /**
-     * Closes a connection on which nothing came while a request waited for its whole time.
+     * Closes a connection on which nothing was received during the whole timeout of a request.
      *
-     * <p>Guards against a connection that went silent for good, or waits for seconds to send again
-     * what a partition swallowed: the partition is over, new connections work, and yet this host
-     * would stay without a view. The next request connects anew.
+     * <p>After a network partition, an old connection may stay unresponsive forever or wait seconds
+     * before it retransmits lost data, while new connections work. Without the close, this host
+     * would stay without a view. The next request opens a new connection.
      */
-    private void closeIfSilent(long readBefore, Duration waited, Duration silence) {
-      long quietNanos = clock.nowNanos() - lastReadNanos;
-      boolean silent =
-          framesRead == readBefore
-              && waited.compareTo(MIN_SILENCE) >= 0
-              && quietNanos >= silence.toNanos();
-      if (silent) {
-        log.info("event=connection-silent peer={} waited={}", address, waited);
-        forget(self);
+    private void closeIfUnresponsive(
+        long framesReadBefore, Duration timeout, Duration readIdleTimeout) {
+      long readIdleNanos = clock.nowNanos() - lastReadNanos;
+      boolean unresponsive =
+          framesRead == framesReadBefore
+              && timeout.compareTo(MIN_READ_IDLE_TIME) >= 0
+              && readIdleNanos >= readIdleTimeout.toNanos();
+      if (unresponsive) {
+        log.info("event=connection-silent peer={} waited={}", address, timeout);
+        discard(self);
         channel.close();
       }
     }
@@ -281,15 +294,15 @@
       lastReadNanos = clock.nowNanos();
       switch (frame.getFrameCase()) {
         case REPLY -> {
-          var answer = waiting.remove(frame.getReply().getCorrelationId());
-          if (answer != null) {
-            answer.complete(frame.getReply().getPayload());
+          var reply = pendingReplies.remove(frame.getReply().getCorrelationId());
+          if (reply != null) {
+            reply.complete(frame.getReply().getPayload());
           }
         }
         case ERROR -> {
-          var answer = waiting.remove(frame.getError().getCorrelationId());
-          if (answer != null) {
-            answer.completeExceptionally(Frames.toException(frame.getError()));
+          var reply = pendingReplies.remove(frame.getError().getCorrelationId());
+          if (reply != null) {
+            reply.completeExceptionally(Frames.toException(frame.getError()));
           }
         }
         default -> {
@@ -300,18 +313,18 @@
     }
 
     private void fail(long id, String message, Outcome outcome) {
-      var answer = waiting.remove(id);
-      if (answer != null) {
-        answer.completeExceptionally(
+      var reply = pendingReplies.remove(id);
+      if (reply != null) {
+        reply.completeExceptionally(
             new AlderyardException(ErrorCode.CONNECTION_LOST, outcome, message));
       }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      broken = true;
-      forget(self);
-      waiting
+      failed = true;
+      discard(self);
+      pendingReplies
           .keySet()
           .forEach(id -> fail(id, "connection lost: " + address, Outcome.OUTCOME_UNKNOWN));
     }
--- a/alderyard-protocol/src/main/java/org/alderyard/protocol/wire/PeerLinks.java
+++ b/alderyard-protocol/src/main/java/org/alderyard/protocol/wire/PeerLinks.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import org.alderyard.common.time.MonotonicClock;
 
-/** The links of one process, one for each address it talks to. */
+/** The links of a process, one for each peer address. */
 public final class PeerLinks implements AutoCloseable {
   private final EventLoops loops;
   private final ProtocolOptions options;
@@ -17,7 +17,7 @@
     this.options = options;
   }
 
-  /** Returns the link to this address. */
+  /** Returns the link to the given address, which is created at the first call. */
   public PeerLink to(InetSocketAddress address) {
     return links.computeIfAbsent(
         address, key -> new PeerLink(loops, key, options, MonotonicClock.system()));
--- a/alderyard-protocol/src/main/java/org/alderyard/protocol/wire/Pipelines.java
+++ b/alderyard-protocol/src/main/java/org/alderyard/protocol/wire/Pipelines.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.alderyard.protocol.generated.envelope.Envelope;
 
-/** The handlers that both ends of a connection share. */
+/** Installs the channel handlers that both ends of a connection share. */
 final class Pipelines {
 
   private Pipelines() {}
--- a/alderyard-protocol/src/main/java/org/alderyard/protocol/wire/ProtocolOptions.java
+++ b/alderyard-protocol/src/main/java/org/alderyard/protocol/wire/ProtocolOptions.java
@@ -5,14 +5,14 @@
 import org.alderyard.common.id.HostId;
 
 /**
- * What both ends of the inner protocol need to know.
+ * Options of the inner protocol for both ends of a connection.
  *
- * @param clusterId the name of the cluster; peers of another one are rejected
+ * @param clusterId the name of the cluster; peers of other clusters are rejected
  * @param host the name of this host
- * @param incarnation grows with each start of this process
- * @param clusterKey the secret that all hosts share
- * @param connectTimeout how long a connection and its handshake may take
- * @param maxOutstanding the most requests without a reply on one connection
+ * @param incarnation a number that grows with each start of this process
+ * @param clusterKey the shared secret of all hosts
+ * @param connectTimeout the time in which a connection and its handshake must complete
+ * @param maxOutstanding the maximum number of requests without a reply on one connection
  */
 public record ProtocolOptions(
     String clusterId,
@@ -21,19 +21,19 @@
     ClusterKey clusterKey,
     Duration connectTimeout,
     int maxOutstanding) {
-  /** The largest frame before the peer is authenticated, in bytes. */
+  /** The maximum size of a frame before the peer is authenticated, in bytes. */
   public static final int MAX_HANDSHAKE_FRAME_BYTES = 4 * 1024;
 
-  /** The largest frame of an authenticated peer, in bytes. */
+  /** The maximum size of a frame of an authenticated peer, in bytes. */
   public static final int MAX_FRAME_BYTES = 16 * 1024 * 1024;
 
-  /** The protocol versions that this build speaks. */
+  /** The oldest protocol version that this build supports. */
   public static final int PROTOCOL_MIN = 1;
 
-  /** The newest protocol version that this build speaks. */
+  /** The newest protocol version that this build supports. */
   public static final int PROTOCOL_MAX = 1;
 
-  /** Checks. */
+  /** Checks that no component is null. */
   public ProtocolOptions {
     Objects.requireNonNull(clusterId);
     Objects.requireNonNull(host);
@@ -41,7 +41,7 @@
     Objects.requireNonNull(connectTimeout);
   }
 
-  /** Returns the same options with another time for a connection and its handshake. */
+  /** Returns a copy of these options with another connect timeout. */
   public ProtocolOptions connectingWithin(Duration timeout) {
     return new ProtocolOptions(clusterId, host, incarnation, clusterKey, timeout, maxOutstanding);
   }
--- a/alderyard-protocol/src/test/java/org/alderyard/protocol/InnerProtocolTest.java
+++ b/alderyard-protocol/src/test/java/org/alderyard/protocol/InnerProtocolTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Requests between two processes: replies, typed errors, and peers that are turned away. */
+/** Requests between two processes: replies, typed errors and rejected peers. */
 class InnerProtocolTest {
   private static final Method<Version, LogPosition> ECHO =
       new Method<>(499, "echo", Version.parser(), LogPosition.parser());
@@ -66,7 +66,7 @@
   }
 
   @Test
-  void eachRequestGetsItsOwnReply() {
+  void eachRequestReceivesItsOwnReply() {
     try (PeerLink link = link("c1", "the key of the cluster")) {
       CompletableFuture<?>[] calls = new CompletableFuture<?>[200];
       for (int i = 0; i < calls.length; i++) {
@@ -80,7 +80,7 @@
   }
 
   @Test
-  void errorKeepsItsCodeOutcomeAndHint() {
+  void errorKeepsItsCodeOutcomeAndRetryDelay() {
     try (PeerLink link = link("c1", "the key of the cluster")) {
       AlderyardException error = failure(link.call(ECHO, version(0, 0), TIMEOUT));
       assertThat(error.code()).isEqualTo(ErrorCode.DRAINING);
@@ -106,7 +106,7 @@
   }
 
   @Test
-  void garbageClosesTheConnection() throws Exception {
+  void invalidBytesCloseTheConnection() throws Exception {
     try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), server.address().getPort())) {
       socket.setSoTimeout((int) TIMEOUT.toMillis());
       socket.getOutputStream().write("GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.UTF_8));
--- a/alderyard-protocol/src/test/java/org/alderyard/protocol/control/ControlClientTest.java
+++ b/alderyard-protocol/src/test/java/org/alderyard/protocol/control/ControlClientTest.java
@@ -32,7 +32,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Where a request goes next, and what is known in the end, by what control hosts answer. */
+/**
+ * The retries and the resulting outcome of a request, depending on the replies of the control
+ * hosts.
+ */
 class ControlClientTest {
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
   private static final Duration TIMEOUT = Duration.ofSeconds(10);
@@ -51,8 +54,8 @@
     loops.close();
   }
 
-  /** Starts a control host that answers announcements so. */
-  private void host(MethodHandler<AnnounceRequest, AnnounceReply> handler) {
+  /** Starts a control host that handles announcements with the given handler. */
+  private void startHost(MethodHandler<AnnounceRequest, AnnounceReply> handler) {
     hosts.add(
         new InnerServer(
             loops,
@@ -62,17 +65,21 @@
             workers));
   }
 
-  private void hostThatFails(AlderyardException failure) {
-    host((peer, request) -> CompletableFuture.failedFuture(failure));
+  private void startFailingHost(AlderyardException failure) {
+    startHost((peer, request) -> CompletableFuture.failedFuture(failure));
   }
 
-  private void hostThatServes() {
-    host((peer, request) -> CompletableFuture.completedFuture(AnnounceReply.getDefaultInstance()));
+  private void startServingHost() {
+    startHost(
+        (peer, request) -> CompletableFuture.completedFuture(AnnounceReply.getDefaultInstance()));
   }
 
-  /** It takes requests, and what it did with them nobody learns. */
-  private void hostThatSaysNothing() {
-    host((peer, request) -> new CompletableFuture<>());
+  /**
+   * Starts a control host that receives requests and never replies, so that their outcome is
+   * unknown.
+   */
+  private void startUnresponsiveHost() {
+    startHost((peer, request) -> new CompletableFuture<>());
   }
 
   private CompletableFuture<AnnounceReply> announce(Duration timeout) {
@@ -86,11 +93,14 @@
     return Futures.typed(assertThrows(CompletionException.class, () -> announce(timeout).join()));
   }
 
-  /** Guards against a refusal as "not run" of what an earlier host may have carried out. */
+  /**
+   * Guards against the outcome {@code NOT_RUN} for a request that an earlier host may have
+   * executed.
+   */
   @Test
-  void refusalAfterTryWithoutAnswerStaysUnclear() {
-    hostThatSaysNothing();
-    hostThatFails(AlderyardException.notRun(ErrorCode.BAD_REQUEST, "not to this host's liking"));
+  void refusalAfterAttemptWithoutReplyHasUnknownOutcome() {
+    startUnresponsiveHost();
+    startFailingHost(AlderyardException.notRun(ErrorCode.BAD_REQUEST, "refused by this host"));
 
     AlderyardException failure = failure(SHORT_TIMEOUT);
 
@@ -99,9 +109,9 @@
   }
 
   @Test
-  void refusalOfFirstHostIsGivenAsItIs() {
-    hostThatFails(AlderyardException.notRun(ErrorCode.BAD_REQUEST, "no name"));
-    hostThatServes();
+  void refusalOfFirstHostIsReturnedUnchanged() {
+    startFailingHost(AlderyardException.notRun(ErrorCode.BAD_REQUEST, "no name"));
+    startServingHost();
 
     AlderyardException failure = failure(TIMEOUT);
 
@@ -109,22 +119,26 @@
     assertThat(failure.outcome()).isEqualTo(Outcome.NOT_RUN);
   }
 
-  /** Guards against one host's broken disk or fault that ends the search for one that serves. */
+  /**
+   * Guards against a storage or internal fault of one host that ends the retries at other hosts.
+   */
   @ParameterizedTest
   @EnumSource(
       names = {"STORAGE_FAILED", "STORAGE_DAMAGED", "INTERNAL", "PEER_REJECTED", "NOT_FOUND"})
-  void faultOfOneHostSendsTheRequestToTheNext(ErrorCode fault) {
-    hostThatFails(AlderyardException.notRun(fault, "my own fault"));
-    hostThatServes();
+  void faultOfOneHostIsRetriedAtTheNext(ErrorCode fault) {
+    startFailingHost(AlderyardException.notRun(fault, "fault of this host"));
+    startServingHost();
 
     assertThat(announce(TIMEOUT).join()).isEqualTo(AnnounceReply.getDefaultInstance());
   }
 
-  /** A leader that is overloaded says when to come back; other hosts would only send to it. */
+  /**
+   * An overloaded leader states the retry delay; other hosts would only forward the request to it.
+   */
   @Test
-  void overloadedLeaderIsNotAskedAgainThroughOthers() {
-    hostThatFails(AlderyardException.notRun(ErrorCode.OVERLOADED, "too much", 70));
-    hostThatServes();
+  void overloadedLeaderIsNotRetriedThroughOtherHosts() {
+    startFailingHost(AlderyardException.notRun(ErrorCode.OVERLOADED, "too much", 70));
+    startServingHost();
 
     AlderyardException failure = failure(TIMEOUT);
 
@@ -133,21 +147,22 @@
   }
 
   @Test
-  void triesEndWithTheTimeOfWhoWaitsForThem() throws Exception {
-    // A leader is slow for some seconds. Servers and operators give up after a second and turn to
-    // another host, which tries for them as well; when the tries of all these hosts went on, the
-    // leader had no time left for anybody, and hosts stayed on an old view.
-    InetSocketAddress nobody;
-    try (ServerSocket free = new ServerSocket(0)) {
-      nobody = new InetSocketAddress("127.0.0.1", free.getLocalPort());
+  void attemptsEndWithTheCallersTimeout() throws Exception {
+    // Guards against attempts that continue after the caller's timeout. While a leader is slow for
+    // some seconds, servers and operators give up after a second and turn to another host, which
+    // retries as well. When the attempts of all these hosts continued, the leader had no capacity
+    // left, and hosts kept an old view.
+    InetSocketAddress unusedAddress;
+    try (ServerSocket socket = new ServerSocket(0)) {
+      unusedAddress = new InetSocketAddress("127.0.0.1", socket.getLocalPort());
     }
-    AtomicInteger looks = new AtomicInteger();
+    AtomicInteger addressLookups = new AtomicInteger();
     ControlClient client =
         new ControlClient(
             links,
             () -> {
-              looks.incrementAndGet();
-              return List.of(nobody);
+              addressLookups.incrementAndGet();
+              return List.of(unusedAddress);
             },
             workers);
     assertThrows(
@@ -160,10 +175,10 @@
                     Duration.ofMillis(100),
                     Duration.ofMillis(250))
                 .get(20, TimeUnit.SECONDS));
-    int ended = looks.get();
+    int lookupsAtEnd = addressLookups.get();
     TimeUnit.MILLISECONDS.sleep(400);
 
-    assertThat(looks.get()).isEqualTo(ended);
-    assertThat(ended).isLessThan(30);
+    assertThat(addressLookups.get()).isEqualTo(lookupsAtEnd);
+    assertThat(lookupsAtEnd).isLessThan(30);
   }
 }
--- a/alderyard-protocol/src/test/java/org/alderyard/protocol/control/ControlDiscoveryTest.java
+++ b/alderyard-protocol/src/test/java/org/alderyard/protocol/control/ControlDiscoveryTest.java
@@ -11,26 +11,27 @@
 
 class ControlDiscoveryTest {
 
-  private static InetSocketAddress at(int port) {
+  private static InetSocketAddress localAddress(int port) {
     return new InetSocketAddress("127.0.0.1", port);
   }
 
   @Test
-  void seedThatIsNoControlHostTellsOfThoseThatToldItOfThemselves() {
-    // The seeds are exchanged for hosts without a disk, and then all processes are killed at once.
-    // After that the seeds know nobody, and all hosts ask them. The control hosts had elected a
-    // leader again, and no host ever found it: nothing was served for the rest of the day.
-    ControlHosts known = new ControlHosts(List.of(at(7)), 3);
-    ControlDiscovery seed = new ControlDiscovery(known, null, null, () -> false, List::of);
+  void seedReturnsTheControlHostsThatAnnouncedThemselves() {
+    // Guards against a cluster that never recovers when its seeds are replaced by hosts without a
+    // disk and then all processes are killed. The seeds knew no control host and all hosts queried
+    // the seeds; the control hosts had elected a leader, but no host found it and nothing was
+    // served for the rest of the day.
+    ControlHosts controlHosts = new ControlHosts(List.of(localAddress(7)), 3);
+    ControlDiscovery seed = new ControlDiscovery(controlHosts, null, null, () -> false, List::of);
     seed.answer(
         FindControlHostsRequest.newBuilder()
-            .addControlHosts(StateCodec.endpointMessage(at(1)))
-            .addControlHosts(StateCodec.endpointMessage(at(2)))
+            .addControlHosts(StateCodec.endpointMessage(localAddress(1)))
+            .addControlHosts(StateCodec.endpointMessage(localAddress(2)))
             .build());
 
     FindControlHostsReply reply = seed.answer(FindControlHostsRequest.getDefaultInstance());
 
     assertThat(reply.getControlHostsList().stream().map(StateCodec::address).toList())
-        .containsAtLeast(at(1), at(2));
+        .containsAtLeast(localAddress(1), localAddress(2));
   }
 }
--- a/alderyard-protocol/src/test/java/org/alderyard/protocol/control/ControlHostsTest.java
+++ b/alderyard-protocol/src/test/java/org/alderyard/protocol/control/ControlHostsTest.java
@@ -8,33 +8,39 @@
 
 class ControlHostsTest {
 
-  private static InetSocketAddress at(int port) {
+  private static InetSocketAddress localAddress(int port) {
     return new InetSocketAddress("127.0.0.1", port);
   }
 
   @Test
-  void viewThatNamesOneControlHostDoesNotHideTheLeader() {
-    // At the first start the hosts register one by one. A view came with one control host, which
-    // did not lead; every host then asked that one only, and nobody reached the leader again.
-    ControlHosts hosts = new ControlHosts(List.of(at(1), at(2), at(3)), 3);
-    hosts.replace(List.of(at(2)));
-
-    assertThat(hosts.addresses()).containsExactly(at(2), at(1), at(3)).inOrder();
+  void viewWithOneControlHostKeepsTheOthers() {
+    // Guards against an unreachable leader at the first start, when the hosts register one by one.
+    // A view named one control host that was not the leader; every host then contacted that one
+    // only, and the leader was never reached again.
+    ControlHosts hosts =
+        new ControlHosts(List.of(localAddress(1), localAddress(2), localAddress(3)), 3);
+    hosts.replace(List.of(localAddress(2)));
+
+    assertThat(hosts.addresses())
+        .containsExactly(localAddress(2), localAddress(1), localAddress(3))
+        .inOrder();
   }
 
   @Test
-  void wholeListReplacesWhatWasKnownBefore() {
-    ControlHosts hosts = new ControlHosts(List.of(at(1), at(2), at(3)), 3);
-    hosts.replace(List.of(at(2), at(3), at(4)));
+  void completeListReplacesTheKnownHosts() {
+    ControlHosts hosts =
+        new ControlHosts(List.of(localAddress(1), localAddress(2), localAddress(3)), 3);
+    hosts.replace(List.of(localAddress(2), localAddress(3), localAddress(4)));
 
-    assertThat(hosts.addresses()).containsExactly(at(2), at(3), at(4));
+    assertThat(hosts.addresses())
+        .containsExactly(localAddress(2), localAddress(3), localAddress(4));
   }
 
   @Test
-  void hostsThatOthersTellOfAreAdded() {
-    ControlHosts hosts = new ControlHosts(List.of(at(9)), 3);
-    hosts.add(List.of(at(1)));
+  void hostsReportedByOthersAreAdded() {
+    ControlHosts hosts = new ControlHosts(List.of(localAddress(9)), 3);
+    hosts.add(List.of(localAddress(1)));
 
-    assertThat(hosts.addresses()).containsExactly(at(1), at(9));
+    assertThat(hosts.addresses()).containsExactly(localAddress(1), localAddress(9));
   }
 }
--- a/alderyard-protocol/src/test/java/org/alderyard/protocol/view/ViewCodecTest.java
+++ b/alderyard-protocol/src/test/java/org/alderyard/protocol/view/ViewCodecTest.java
@@ -14,23 +14,22 @@
 import org.alderyard.protocol.generated.state.Server;
 import org.junit.jupiter.api.Test;
 
-/** Views that share tables with the view before. */
+/** Views that share unchanged tables with the previous view. */
 class ViewCodecTest {
   private static final int STEPS = 2_000;
 
   /**
-   * A view shares with the one before what did not change. A table that is edited in place, or an
-   * index that misses an edit, would show as a server in two groups, or as a change in a view that
-   * a request still uses.
+   * Guards against a table that is edited in place and an index that misses an edit. They would
+   * show as a change in a view that a request still uses, or as a server in two groups.
    */
   @Test
-  void editedViewEqualsOneBuiltAnewAndLeavesTheOldOneAlone() {
+  void editedViewEqualsRebuiltViewAndLeavesThePreviousUnchanged() {
     SplittableRandom random = new SplittableRandom(11);
     View view = View.EMPTY;
     for (int step = 1; step <= STEPS; step++) {
-      String before = text(view);
+      String textBefore = text(view);
       View next = ViewCodec.apply(view, new ViewVersion(1, step), objects(random));
-      assertThat(text(view)).isEqualTo(before);
+      assertThat(text(view)).isEqualTo(textBefore);
       assertThat(text(next)).isEqualTo(text(ViewCodec.view(ViewCodec.snapshot(next))));
       view = next;
     }
--- a/alderyard-protocol/src/test/java/org/alderyard/protocol/view/ViewFollowerTest.java
+++ b/alderyard-protocol/src/test/java/org/alderyard/protocol/view/ViewFollowerTest.java
@@ -13,7 +13,7 @@
 import org.alderyard.protocol.view.ViewFollower.Reason;
 import org.junit.jupiter.api.Test;
 
-/** Deltas that are lost, repeated, late or of another history. */
+/** Deltas that are lost, repeated, late or from another history. */
 class ViewFollowerTest {
   private final List<ViewDelta> deltas = new ArrayList<>();
 
@@ -45,35 +45,38 @@
   void repeatedAndLateDeltasChangeNothing() {
     ViewFollower follower = deliver(ViewFollower.EMPTY, deltas.get(0), deltas.get(1)).follower();
 
-    var again = deliver(follower, deltas.get(0), deltas.get(1));
+    var repeated = deliver(follower, deltas.get(0), deltas.get(1));
 
-    assertThat(again.reason()).isEqualTo(Reason.NOTHING_NEW);
-    assertThat(again.follower()).isSameInstanceAs(follower);
+    assertThat(repeated.reason()).isEqualTo(Reason.NOTHING_NEW);
+    assertThat(repeated.follower()).isSameInstanceAs(follower);
     assertThat(deliver(follower, deltas.get(1), deltas.get(2)).reason()).isEqualTo(Reason.ADVANCED);
   }
 
-  /** A delta is lost on its way: what it changed would be missing in every later view. */
+  /** Guards against a lost delta whose changes would be missing in every later view. */
   @Test
-  void lostDeltaIsGapThatSnapshotFills() {
+  void lostDeltaIsReportedAsGapAndRepairedBySnapshot() {
     ViewFollower follower = deliver(ViewFollower.EMPTY, deltas.get(0)).follower();
 
-    var gap = deliver(follower, deltas.get(2));
+    var afterGap = deliver(follower, deltas.get(2));
 
-    assertThat(gap.reason()).isEqualTo(Reason.GAP);
-    assertThat(gap.needsSnapshot()).isTrue();
-    assertThat(gap.follower()).isEqualTo(follower);
+    assertThat(afterGap.reason()).isEqualTo(Reason.GAP);
+    assertThat(afterGap.needsSnapshot()).isTrue();
+    assertThat(afterGap.follower()).isEqualTo(follower);
     ViewSnapshot snapshot =
         ViewSnapshot.newBuilder().setVersion(version(3)).addObjects(group(3)).build();
-    var filled = follower.accept(snapshot, deltas.get(2).getChainHash());
-    assertThat(filled.reason()).isEqualTo(Reason.ADVANCED);
-    assertThat(deliver(filled.follower(), deltas.get(3)).reason()).isEqualTo(Reason.ADVANCED);
-    assertThat(filled.follower().accept(snapshot, deltas.get(2).getChainHash()).reason())
+    var afterSnapshot = follower.accept(snapshot, deltas.get(2).getChainHash());
+    assertThat(afterSnapshot.reason()).isEqualTo(Reason.ADVANCED);
+    assertThat(deliver(afterSnapshot.follower(), deltas.get(3)).reason())
+        .isEqualTo(Reason.ADVANCED);
+    assertThat(afterSnapshot.follower().accept(snapshot, deltas.get(2).getChainHash()).reason())
         .isEqualTo(Reason.NOTHING_NEW);
   }
 
-  /** A control host of another history has a delta of the right version with other content. */
+  /**
+   * A control host with another history sends a delta of the expected version with other content.
+   */
   @Test
-  void deltaOfAnotherHistoryIsRefused() {
+  void deltaFromAnotherHistoryIsRefused() {
     ViewFollower follower = deliver(ViewFollower.EMPTY, deltas.get(0)).follower();
     ViewDelta other =
         ViewChain.link(deltas.get(3).getChainHash(), version(1), version(2), List.of(group(9)));
--- a/alderyard-protocol/src/test/java/org/alderyard/protocol/wire/DispatcherTest.java
+++ b/alderyard-protocol/src/test/java/org/alderyard/protocol/wire/DispatcherTest.java
@@ -15,13 +15,13 @@
 import org.alderyard.protocol.generated.control.AnnounceReply;
 import org.junit.jupiter.api.Test;
 
-/** Guards against faults between hosts that are passed on as faults of who sent the request. */
+/** Guards against faults between hosts that are reported as faults of the request. */
 class DispatcherTest {
   private static final PeerIdentity PEER = new PeerIdentity(new HostId("h2"), 1);
-  private static final int UNSERVED = ControlMethods.HEARTBEAT.number();
+  private static final int UNSERVED_METHOD = ControlMethods.HEARTBEAT.number();
 
-  /** A field of 127 bytes that does not come. */
-  private static final ByteString CUT_SHORT = ByteString.copyFrom(new byte[] {0x0a, 0x7f});
+  /** Announces a field of 127 bytes that are missing. */
+  private static final ByteString TRUNCATED = ByteString.copyFrom(new byte[] {0x0a, 0x7f});
 
   private final Dispatcher dispatcher =
       new Dispatcher()
@@ -37,8 +37,8 @@
   }
 
   @Test
-  void hostThatDoesNotServeMethodDoesNotBlameTheRequest() {
-    AlderyardException failure = failure(UNSERVED, ByteString.EMPTY);
+  void unservedMethodIsNotFaultOfTheRequest() {
+    AlderyardException failure = failure(UNSERVED_METHOD, ByteString.EMPTY);
 
     assertThat(failure.code()).isEqualTo(ErrorCode.METHOD_NOT_SERVED);
     assertThat(failure.code().blamesRequest()).isFalse();
@@ -46,8 +46,8 @@
   }
 
   @Test
-  void messageThatWasCutOnItsWayDoesNotBlameTheRequest() {
-    AlderyardException failure = failure(ControlMethods.ANNOUNCE.number(), CUT_SHORT);
+  void truncatedMessageIsNotFaultOfTheRequest() {
+    AlderyardException failure = failure(ControlMethods.ANNOUNCE.number(), TRUNCATED);
 
     assertThat(failure.code()).isEqualTo(ErrorCode.MESSAGE_DAMAGED);
     assertThat(failure.code().blamesRequest()).isFalse();
--- a/alderyard-protocol/src/test/java/org/alderyard/protocol/wire/LostHandshakeTest.java
+++ b/alderyard-protocol/src/test/java/org/alderyard/protocol/wire/LostHandshakeTest.java
@@ -25,9 +25,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * An operator sends a change again, since the answer was lost, and is told 403: not allowed. The
- * host that took it passed it to a control host that was frozen: its kernel accepts connections and
- * nobody shakes hands. The lost handshake was taken for a rejection, which is the sender's fault.
+ * Guards against a lost handshake that is reported as a rejection. An operator resent a change
+ * after a lost reply, and the host that received it forwarded it to a frozen control host, whose
+ * kernel accepts connections while the process does not answer the handshake. The operator received
+ * 403, which states a fault of the sender.
  */
 class LostHandshakeTest {
   private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(300);
@@ -41,10 +42,10 @@
   }
 
   @Test
-  void frozenHostIsLostConnection() throws IOException {
-    try (ServerSocket frozen = listener();
+  void handshakeWithFrozenHostFailsAsLostConnection() throws IOException {
+    try (ServerSocket frozen = openListener();
         PeerLinks links = new PeerLinks(loops, TestPeers.options("h2", CONNECT_TIMEOUT))) {
-      AlderyardException failure = failure(replace(links.to(address(frozen))));
+      AlderyardException failure = failure(replaceConfiguration(links.to(address(frozen))));
 
       assertThat(failure.code()).isEqualTo(ErrorCode.CONNECTION_LOST);
       assertThat(failure.outcome()).isEqualTo(Outcome.NOT_RUN);
@@ -52,25 +53,25 @@
   }
 
   @Test
-  void hostThatEndsDuringTheHandshakeIsLostConnection() throws IOException {
-    try (ServerSocket dying = listener();
+  void closeDuringTheHandshakeFailsAsLostConnection() throws IOException {
+    try (ServerSocket closing = openListener();
         PeerLinks links = new PeerLinks(loops, TestPeers.options("h2", CONNECT_TIMEOUT))) {
-      workers.execute(() -> acceptAndClose(dying));
+      workers.execute(() -> acceptAndClose(closing));
 
-      assertThat(failure(replace(links.to(address(dying)))).code())
+      assertThat(failure(replaceConfiguration(links.to(address(closing)))).code())
           .isEqualTo(ErrorCode.CONNECTION_LOST);
     }
   }
 
   @Test
-  void changeGoesToNextControlHostWhenOneIsFrozen() throws IOException {
+  void changeIsRetriedAtNextControlHostIfOneIsFrozen() throws IOException {
     Dispatcher dispatcher = new Dispatcher();
     dispatcher.serve(
         ControlMethods.REPLACE_CONFIGURATION,
         (peer, request) ->
             CompletableFuture.completedFuture(
                 ReplaceConfigurationReply.newBuilder().setNumber(7).build()));
-    try (ServerSocket frozen = listener();
+    try (ServerSocket frozen = openListener();
         InnerServer live =
             new InnerServer(
                 loops,
@@ -95,11 +96,11 @@
   }
 
   @Test
-  void rejectionOfHostByAnotherIsNotTheFaultOfWhoSentTheRequest() {
+  void rejectedPeerIsNotReportedAsClientError() {
     assertThat(ErrorCode.PEER_REJECTED.httpStatus()).isEqualTo(503);
   }
 
-  private static CompletableFuture<ReplaceConfigurationReply> replace(PeerLink link) {
+  private static CompletableFuture<ReplaceConfigurationReply> replaceConfiguration(PeerLink link) {
     return link.call(
         ControlMethods.REPLACE_CONFIGURATION,
         ReplaceConfigurationRequest.getDefaultInstance(),
@@ -110,7 +111,7 @@
     return Futures.typed(assertThrows(CompletionException.class, call::join));
   }
 
-  private static ServerSocket listener() throws IOException {
+  private static ServerSocket openListener() throws IOException {
     return new ServerSocket(0, 16, InetAddress.getLoopbackAddress());
   }
 
--- a/alderyard-protocol/src/test/java/org/alderyard/protocol/wire/UnresponsiveConnectionTest.java
+++ b/alderyard-protocol/src/test/java/org/alderyard/protocol/wire/UnresponsiveConnectionTest.java
@@ -18,20 +18,20 @@
 import org.alderyard.protocol.generated.control.FindControlHostsRequest;
 import org.junit.jupiter.api.Test;
 
-class SilentConnectionTest {
+class UnresponsiveConnectionTest {
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
 
   @Test
-  void requestAfterOneThatGotNoAnswerGoesOverNewConnection() throws Exception {
-    // A partition is over, but the connections from before it stay silent. Hosts that went on
-    // using them got no view for seconds more, and served an old configuration.
-    List<PeerIdentity> connections = Collections.synchronizedList(new ArrayList<>());
+  void requestAfterTimeoutUsesNewConnection() throws Exception {
+    // Guards against connections that stay unresponsive after a network partition. Hosts that kept
+    // using them received no view for several more seconds and served an old configuration.
+    List<PeerIdentity> peers = Collections.synchronizedList(new ArrayList<>());
     Dispatcher dispatcher = new Dispatcher();
     dispatcher.serve(
         ControlMethods.FIND_CONTROL_HOSTS,
         (peer, request) -> {
-          connections.add(peer);
-          return connections.size() == 1
+          peers.add(peer);
+          return peers.size() == 1
               ? new CompletableFuture<>()
               : CompletableFuture.completedFuture(FindControlHostsReply.getDefaultInstance());
         });
@@ -46,15 +46,15 @@
                 workers);
         PeerLinks links = new PeerLinks(loops, TestPeers.options("h2", CONNECT_TIMEOUT))) {
       PeerLink link = links.to(server.address());
-      assertThrows(ExecutionException.class, () -> ask(link, Duration.ofMillis(800)));
-      ask(link, Duration.ofSeconds(5));
+      assertThrows(ExecutionException.class, () -> findControlHosts(link, Duration.ofMillis(800)));
+      findControlHosts(link, Duration.ofSeconds(5));
 
-      assertThat(connections).hasSize(2);
-      assertThat(connections.get(0)).isNotSameInstanceAs(connections.get(1));
+      assertThat(peers).hasSize(2);
+      assertThat(peers.get(0)).isNotSameInstanceAs(peers.get(1));
     }
   }
 
-  private static void ask(PeerLink link, Duration timeout) throws Exception {
+  private static void findControlHosts(PeerLink link, Duration timeout) throws Exception {
     link.call(
             ControlMethods.FIND_CONTROL_HOSTS,
             FindControlHostsRequest.getDefaultInstance(),
