--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/log/BenchHost.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/log/BenchHost.java
@@ -42,7 +42,7 @@
       int number,
       List<InetSocketAddress> members,
       Path folder,
-      StateMachine machine,
+      StateMachine stateMachine,
       ReplicatedLogOptions options,
       Consumer<BenchHost> onLeading) {
     this.number = number;
@@ -64,7 +64,7 @@
             .host(host, members.get(number))
             .members(members)
             .dataFolder(folder.resolve(host.value()))
-            .machine(machine)
+            .stateMachine(stateMachine)
             .network(links, dispatcher)
             .callbacks(workers)
             .random(new SecureRandom())
@@ -75,8 +75,8 @@
   }
 
   @Override
-  public void onLeadership(long term, boolean leading) {
-    if (leading) {
+  public void onLeadershipChange(long term, boolean isLeader) {
+    if (isLeader) {
       workers.execute(() -> onLeading.accept(this));
     }
   }
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/log/RestartBenchmark.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/log/RestartBenchmark.java
@@ -80,12 +80,12 @@
   }
 
   /** Runs a cluster of one host until all is written. */
-  private void fill(Path data, StateMachine machine, int entries, long snapshotEntries) {
+  private void fill(Path data, StateMachine stateMachine, int entries, long snapshotEntries) {
     CompletableFuture<BenchHost> elected = new CompletableFuture<>();
-    BenchHost host = open(data, machine, snapshotEntries, elected);
+    BenchHost host = open(data, stateMachine, snapshotEntries, elected);
     elected.join();
     ByteString command =
-        machine instanceof ControlState
+        stateMachine instanceof ControlState
             ? ByteString.EMPTY
             : ByteString.copyFrom(new byte[COMMAND_BYTES]);
     for (int done = 0; done < entries; done += WINDOW) {
@@ -103,10 +103,10 @@
     host.free();
   }
 
-  private double openMillis(Path data, Supplier<StateMachine> machine) {
+  private double openMillis(Path data, Supplier<StateMachine> stateMachine) {
     double[] millis = new double[RUNS];
     for (int run = 0; run < RUNS; run++) {
-      StateMachine fresh = machine.get();
+      StateMachine fresh = stateMachine.get();
       long startNanos = clock.nowNanos();
       BenchHost host = open(data, fresh, NO_SNAPSHOT, new CompletableFuture<>());
       millis[run] = (clock.nowNanos() - startNanos) / NANOS_PER_MILLI;
@@ -142,7 +142,10 @@
   }
 
   private static BenchHost open(
-      Path data, StateMachine machine, long snapshotEntries, CompletableFuture<BenchHost> elected) {
+      Path data,
+      StateMachine stateMachine,
+      long snapshotEntries,
+      CompletableFuture<BenchHost> elected) {
     ReplicatedLogOptions preset = ReplicatedLogOptions.defaults();
     ReplicatedLogOptions options =
         new ReplicatedLogOptions(
@@ -158,7 +161,7 @@
         0,
         List.of(FreePorts.nextAddress()),
         data,
-        machine,
+        stateMachine,
         options,
         host -> elected.complete(host));
   }
--- a/alderyard-control/src/main/java/org/alderyard/control/failover/FailoverTable.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/failover/FailoverTable.java
@@ -51,12 +51,12 @@
   }
 
   @Override
-  public synchronized Applied apply(long index, ByteString bytes, View view) {
+  public synchronized ApplyResult apply(long index, ByteString bytes, View view) {
     FailoverStepEntry entry = StepCodec.parse(bytes);
     GroupId id = new GroupId(entry.getGroup());
     Optional<FailoverRecord> current = record(id, view);
     if (current.isEmpty()) {
-      return new Applied(List.of(), newReply(false, "GROUP_UNKNOWN").build().toByteString());
+      return new ApplyResult(List.of(), newReply(false, "GROUP_UNKNOWN").build().toByteString());
     }
     StepResult result = current.get().apply(StepCodec.step(entry));
     ByteString encodedReply =
@@ -65,11 +65,11 @@
             .build()
             .toByteString();
     if (!result.accepted()) {
-      return new Applied(List.of(), encodedReply);
+      return new ApplyResult(List.of(), encodedReply);
     }
     records.put(id, result.record());
     GroupState group = toGroupState(view.group(id).orElseThrow(), result.record());
-    return new Applied(
+    return new ApplyResult(
         List.of(ObjectState.newBuilder().setGroup(StateCodec.groupMessage(group)).build()),
         encodedReply);
   }
--- a/alderyard-control/src/main/java/org/alderyard/control/failover/StepProposer.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/failover/StepProposer.java
@@ -22,7 +22,7 @@
   }
 
   boolean isLeader() {
-    return controlLog.leading();
+    return controlLog.isLeader();
   }
 
   long wallClockMillis() {
--- a/alderyard-control/src/main/java/org/alderyard/control/grant/GrantLedger.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/grant/GrantLedger.java
@@ -106,7 +106,9 @@
 
   private int available(int budget, boolean primary) {
     int grantable = options.grantable(budget, primary);
-    return options.hardLimit() ? grantable : ReturnRoom.available(budget, grantable, totalWanted());
+    return options.hardLimit()
+        ? grantable
+        : ReconnectHeadroom.available(budget, grantable, totalWanted());
   }
 
   private int totalWanted() {
@@ -120,7 +122,7 @@
   public int grantedBeyondHeadroom(int budget, long nowNanos) {
     return options.hardLimit()
         ? 0
-        : Math.max(0, maxInUse(nowNanos) - ReturnRoom.steadyStateLimit(budget));
+        : Math.max(0, maxInUse(nowNanos) - ReconnectHeadroom.steadyStateLimit(budget));
   }
 
   private int maxInUseByOthers(ProxyId proxy) {
--- a/alderyard-control/src/main/java/org/alderyard/control/grant/GrantService.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/grant/GrantService.java
@@ -64,8 +64,8 @@
    * Returns how many granted connections, summed over all servers, exceed the count that lets all
    * hosts reconnect after a power loss; 0 on a host that is not the leader.
    */
-  public synchronized int beyondReturnRoom() {
-    if (!controlLog.leading()) {
+  public synchronized int grantedBeyondHeadroom() {
+    if (!controlLog.isLeader()) {
       return 0;
     }
     long now = clock.nowNanos();
@@ -96,7 +96,7 @@
   }
 
   private synchronized RenewGrantsReply renewInTerm(long term, RenewGrantsRequest request) {
-    if (controlLog.term() != term || !controlLog.leading()) {
+    if (controlLog.term() != term || !controlLog.isLeader()) {
       throw AlderyardException.notRun(
           ErrorCode.NOT_LEADER, "the leadership changed before the grants were renewed");
     }
--- a/alderyard-control/src/main/java/org/alderyard/control/grant/ReturnRoom.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/grant/ReconnectHeadroom.java
@@ -8,8 +8,8 @@
  * statements of their callers fail. While demand permits, all hosts together therefore hold less
  * than half of the connections that the server accepts, so that all of them can reconnect.
  */
-final class ReturnRoom {
-  private ReturnRoom() {}
+final class ReconnectHeadroom {
+  private ReconnectHeadroom() {}
 
   /** Returns the largest count that leaves the server capacity for the same count plus one. */
   static int steadyStateLimit(int accepted) {
--- a/alderyard-control/src/main/java/org/alderyard/control/log/ControlLog.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/log/ControlLog.java
@@ -31,7 +31,7 @@
   CompletableFuture<Void> readBarrier();
 
   /** Returns whether this host presumes that it is the leader; no quorum is asked. */
-  boolean leading();
+  boolean isLeader();
 
   /** Returns the presumed leader, or empty if none is known. */
   Optional<HostId> leader();
@@ -40,7 +40,7 @@
    * Returns a future that completes when a leader is known or the timeout expires. If this host is
    * the leader, the future also waits until the host has applied all earlier committed commands.
    */
-  default CompletableFuture<Void> leaderKnown(Duration timeout) {
+  default CompletableFuture<Void> whenLeaderKnown(Duration timeout) {
     return CompletableFuture.completedFuture(null);
   }
 
--- a/alderyard-control/src/main/java/org/alderyard/control/log/LeaderWaits.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/log/LeaderWaitQueue.java
@@ -11,7 +11,7 @@
  * Futures that wait until a leader is known. The lock is the object itself; no other lock is taken
  * while the lock is held.
  */
-final class LeaderWaits {
+final class LeaderWaitQueue {
   // Guarded by this.
   private final Set<CompletableFuture<Void>> pending = new LinkedHashSet<>();
   private boolean leaderKnown;
--- a/alderyard-control/src/main/java/org/alderyard/control/log/LocalLog.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/log/LocalLog.java
@@ -30,7 +30,7 @@
   }
 
   @Override
-  public boolean leading() {
+  public boolean isLeader() {
     return true;
   }
 
--- a/alderyard-control/src/main/java/org/alderyard/control/log/LogDriver.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/log/LogDriver.java
@@ -71,10 +71,10 @@
 
   /** Performs effects until the core has none left. All steps before the call share one sync. */
   void performEffects() {
-    for (Effects effects = core.drain(); !isIdle(effects); effects = core.drain()) {
-      transport.send(effects.early());
+    for (Effects effects = core.takeEffects(); !isIdle(effects); effects = core.takeEffects()) {
+      transport.send(effects.beforeSync());
       sync(effects);
-      core.synced();
+      core.markSynced();
       transport.send(effects.afterSync());
       effects.snapshot().ifPresent(this::restore);
       effects.committed().forEach(this::apply);
@@ -98,7 +98,7 @@
 
   private static boolean isIdle(Effects effects) {
     return !effects.needsSync()
-        && effects.early().isEmpty()
+        && effects.beforeSync().isEmpty()
         && effects.afterSync().isEmpty()
         && effects.committed().isEmpty()
         && effects.reads().isEmpty();
--- a/alderyard-control/src/main/java/org/alderyard/control/log/LogListener.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/log/LogListener.java
@@ -12,9 +12,9 @@
    * Called when this host becomes the leader or loses leadership.
    *
    * @param term the term of the log
-   * @param leading true once the host is the leader and has applied all earlier committed commands
+   * @param isLeader true once the host is the leader and has applied all earlier committed commands
    */
-  default void onLeadership(long term, boolean leading) {}
+  default void onLeadershipChange(long term, boolean isLeader) {}
 
   /** Called when the log has stopped permanently, as after a failed sync; the process must exit. */
   default void onFailure(AlderyardException failure) {}
--- a/alderyard-control/src/main/java/org/alderyard/control/log/MembershipRepairPlan.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/log/MembershipRepairPlan.java
@@ -57,7 +57,7 @@
     if (!hasCaughtUp.test(replica.getReplicaId())) {
       return Optional.empty();
     }
-    return membership.membersOf(replica.getHostId()).stream()
+    return membership.membersOnHost(replica.getHostId()).stream()
         .filter(member -> member.getReplicaId() != replica.getReplicaId())
         .map(old -> (MembershipChange) new Remove(old.getReplicaId()))
         .findFirst()
--- a/alderyard-control/src/main/java/org/alderyard/control/log/ReplicaHost.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/log/ReplicaHost.java
@@ -301,7 +301,7 @@
     Optional<MembershipChange> change =
         repairPlan(core)
             .nextChange(joinRequests.values().stream().map(PendingJoin::member).toList());
-    if (change.isPresent() && core.change(change.get()) == Verdict.ACCEPTED) {
+    if (change.isPresent() && core.changeMembership(change.get()) == Verdict.ACCEPTED) {
       log.info("event=membership-repair change=\"{}\" term={}", change.get(), core.term());
     }
   }
@@ -314,7 +314,7 @@
         core.membership(),
         core::hasCaughtUp,
         builder.openMembership.get().voterCount(),
-        replicaId -> core.silentMillis(replicaId) > VOTER_LOST_AFTER_MILLIS);
+        replicaId -> core.unresponsiveMillis(replicaId) > VOTER_LOST_AFTER_MILLIS);
   }
 
   /** Acknowledges the receipt immediately; Raft replies are sent as separate messages. */
@@ -392,7 +392,7 @@
     return new LogStatus(
         core.term(),
         core.role() == Role.LEADER,
-        core.isEstablished(),
+        core.hasCommittedInTerm(),
         leader,
         driver.appliedIndex(),
         driver.snapshotIndex(),
--- a/alderyard-control/src/main/java/org/alderyard/control/log/ReplicatedLog.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/log/ReplicatedLog.java
@@ -32,7 +32,7 @@
  *         .host(host, innerAddress)
  *         .members(innerAddressesOfAllControlHosts)
  *         .dataFolder(folder)
- *         .machine(state)
+ *         .stateMachine(state)
  *         .network(links, dispatcher)
  *         .callbacks(workers)
  *         .random(new SecureRandom())
@@ -54,7 +54,7 @@
   private final SerialLoop loop;
   private final PendingRequests pending;
   private final ReplicaHost replica;
-  private final LeaderWaits leaderWaits = new LeaderWaits();
+  private final LeaderWaitQueue leaderWaitQueue = new LeaderWaitQueue();
   // Used only on the serial loop.
   private long nextReadId;
   private boolean closed;
@@ -95,7 +95,7 @@
     LogStatus before = status;
     LogStatus now = replica.status();
     status = now;
-    leaderWaits.setLeaderKnown(now.isLeaderKnown());
+    leaderWaitQueue.setLeaderKnown(now.isLeaderKnown());
     if (now.lostLeadershipSince(before)) {
       pending.failAll(leadershipLost(), notLeader());
     }
@@ -107,10 +107,10 @@
           now.leader().map(HostId::value).orElse("none"));
     }
     if (before.established() && now.lostLeadershipSince(before)) {
-      listener.onLeadership(before.term(), false);
+      listener.onLeadershipChange(before.term(), false);
     }
     if (now.established() && !(before.established() && before.term() == now.term())) {
-      listener.onLeadership(now.term(), true);
+      listener.onLeadershipChange(now.term(), true);
     }
   }
 
@@ -173,7 +173,7 @@
         future -> {
           nextReadId++;
           long readId = nextReadId;
-          if (replica.core().filter(core -> core.read(readId)).isEmpty()) {
+          if (replica.core().filter(core -> core.requestRead(readId)).isEmpty()) {
             future.completeExceptionally(notLeader());
             return;
           }
@@ -186,7 +186,7 @@
     return runOnLoop(
         future -> {
           Verdict verdict =
-              replica.core().map(core -> core.change(change)).orElse(Verdict.NOT_LEADER);
+              replica.core().map(core -> core.changeMembership(change)).orElse(Verdict.NOT_LEADER);
           log.info("event=membership-change change=\"{}\" verdict={}", change, verdict);
           future.complete(verdict);
         });
@@ -250,7 +250,7 @@
   }
 
   @Override
-  public boolean leading() {
+  public boolean isLeader() {
     return status.established();
   }
 
@@ -260,8 +260,8 @@
   }
 
   @Override
-  public CompletableFuture<Void> leaderKnown(Duration timeout) {
-    return leaderWaits.awaitLeader(timeout);
+  public CompletableFuture<Void> whenLeaderKnown(Duration timeout) {
+    return leaderWaitQueue.awaitLeader(timeout);
   }
 
   @Override
--- a/alderyard-control/src/main/java/org/alderyard/control/log/ReplicatedLogBuilder.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/log/ReplicatedLogBuilder.java
@@ -56,7 +56,7 @@
   }
 
   /** Lets hosts join that are not listed as members; the listed members only found the cluster. */
-  public ReplicatedLogBuilder open(OpenMembership value) {
+  public ReplicatedLogBuilder openMembership(OpenMembership value) {
     openMembership = Optional.of(value);
     return this;
   }
@@ -68,7 +68,7 @@
   }
 
   /** Sets the state machine that applies the commands. */
-  public ReplicatedLogBuilder machine(StateMachine value) {
+  public ReplicatedLogBuilder stateMachine(StateMachine value) {
     stateMachine = value;
     return this;
   }
--- a/alderyard-control/src/main/java/org/alderyard/control/operator/OperatorApi.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/operator/OperatorApi.java
@@ -20,7 +20,7 @@
 import org.alderyard.common.http.JsonExchange;
 import org.alderyard.common.id.HostId;
 import org.alderyard.common.view.View;
-import org.alderyard.control.state.TicketRules;
+import org.alderyard.control.state.TicketValidator;
 import org.alderyard.protocol.generated.control.DrainHostRequest;
 
 /** HTTP API for operators; every request must carry the operator key as a bearer token. */
@@ -99,7 +99,8 @@
     }
     // Reports all faults in one response: parse faults and violated rules of the parsed objects.
     List<FieldFault> faults = new ArrayList<>(parsed.faults());
-    faults.addAll(TicketRules.check(view.get(), host -> true, parsed.ticket().getObjectsList()));
+    faults.addAll(
+        TicketValidator.check(view.get(), host -> true, parsed.ticket().getObjectsList()));
     throw new TicketException(number, faults);
   }
 
--- a/alderyard-control/src/main/java/org/alderyard/control/promotion/PrimaryPromoter.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/promotion/PrimaryPromoter.java
@@ -12,12 +12,12 @@
   /**
    * Requests the appointment of a new primary.
    *
-   * @param holder the host that decides the failovers of the group, that is, the control leader
+   * @param controlLeader the leader of the control log, which decides the failovers of the group
    * @param fencingToken increases with each decision; the service refuses a token lower than the
    *     highest that it has received
    * @return a future that never completes exceptionally; a call without a response may still be
    *     executed later
    */
-  CompletableFuture<PromotionAnswer> promote(
-      GroupId group, ServerId server, HostId holder, long fencingToken);
+  CompletableFuture<PromotionResponse> promote(
+      GroupId group, ServerId server, HostId controlLeader, long fencingToken);
 }
--- a/alderyard-control/src/main/java/org/alderyard/control/promotion/PromotionAnswer.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/promotion/PromotionResponse.java
@@ -1,7 +1,7 @@
 package org.alderyard.control.promotion;
 
 /** The response of the appointing service. */
-public enum PromotionAnswer {
+public enum PromotionResponse {
   /** The server becomes primary, or is primary already. */
   ACCEPTED,
   /** The service has received a higher token, or the server is not running. */
--- a/alderyard-control/src/main/java/org/alderyard/control/promotion/PromotionService.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/promotion/PromotionService.java
@@ -110,7 +110,7 @@
   }
 
   private CompletableFuture<ReportPrimariesReply> handleReport(ReportPrimariesRequest request) {
-    if (!controlLog.leading()) {
+    if (!controlLog.isLeader()) {
       return CompletableFuture.failedFuture(
           AlderyardException.notRun(ErrorCode.NOT_LEADER, "this control host is not the leader"));
     }
@@ -130,7 +130,7 @@
   }
 
   private void checkGroups() {
-    if (!controlLog.leading()) {
+    if (!controlLog.isLeader()) {
       return;
     }
     View view = views.get();
@@ -275,7 +275,7 @@
     promoter
         .promote(group, server, self, token)
         .thenAccept(
-            answer -> {
+            response -> {
               log.info(
                   "event=promotion-call group={} server={} token={} call={} answer={}"
                       + " after-millis={}",
@@ -283,9 +283,9 @@
                   server,
                   token,
                   callNumber,
-                  answer,
+                  response,
                   TimeUnit.NANOSECONDS.toMillis(clock.nowNanos() - startNanos));
-              switch (answer) {
+              switch (response) {
                 case ACCEPTED -> awaitAppointment(group);
                 case REFUSED -> recordFailedAttempt(group, "refused", null);
                 default -> retryCall(group, server, token, startNanos, callNumber);
@@ -295,7 +295,7 @@
 
   private void retryCall(
       GroupId group, ServerId server, long token, long startNanos, int callNumber) {
-    if (callNumber >= MAX_CALLS || !controlLog.leading()) {
+    if (callNumber >= MAX_CALLS || !controlLog.isLeader()) {
       recordFailedAttempt(group, "no-answer", null);
       return;
     }
--- a/alderyard-control/src/main/java/org/alderyard/control/raft/Effects.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/raft/Effects.java
@@ -9,7 +9,7 @@
 /**
  * The effects of the steps since the last call, to be performed in the order of the components.
  *
- * @param early messages to send without waiting for the sync; only leaders send them
+ * @param beforeSync messages to send without waiting for the sync; only leaders send them
  * @param hardState the term and vote to sync, if they changed
  * @param snapshot the snapshot to store and to restore the state from; it replaces the whole log
  * @param entries the entries to sync; they replace all stored entries from the first index on
@@ -19,7 +19,7 @@
  * @param failedReads the ids of reads that cannot be confirmed since this replica no longer leads
  */
 public record Effects(
-    List<RaftMessage> early,
+    List<RaftMessage> beforeSync,
     Optional<HardState> hardState,
     Optional<Snapshot> snapshot,
     List<Entry> entries,
--- a/alderyard-control/src/main/java/org/alderyard/control/raft/Leadership.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/raft/Leadership.java
@@ -164,7 +164,7 @@
     return replicaId == state.self ? state.log.storedIndex() : peers.get(replicaId).matchIndex();
   }
 
-  void read(long readId) {
+  void requestRead(long readId) {
     reads.add(readId);
   }
 
--- a/alderyard-control/src/main/java/org/alderyard/control/raft/Membership.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/raft/Membership.java
@@ -61,7 +61,7 @@
    * Returns the members on a host. There may be two while the replica on the host is being
    * replaced.
    */
-  public List<Member> membersOf(String hostId) {
+  public List<Member> membersOnHost(String hostId) {
     return members.values().stream().filter(member -> member.getHostId().equals(hostId)).toList();
   }
 
@@ -100,7 +100,7 @@
   }
 
   /** Returns the serialized form, as stored in the log. */
-  public MemberList toList() {
+  public MemberList toMemberList() {
     return MemberList.newBuilder().addAllMembers(members.values()).build();
   }
 
--- a/alderyard-control/src/main/java/org/alderyard/control/raft/RaftCore.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/raft/RaftCore.java
@@ -17,16 +17,16 @@
 /**
  * One replica of a Raft log as a state machine without I/O.
  *
- * <p>The caller passes in messages, proposals and the time, calls {@link #drain()}, performs the
- * effects in their order and calls {@link #synced()}. Between those two calls it must not call any
- * other method that changes the state.
+ * <p>The caller passes in messages, proposals and the time, calls {@link #takeEffects()}, performs
+ * the effects in their order and calls {@link #markSynced()}. Between those two calls it must not
+ * call any other method that changes the state.
  *
  * <pre>{@code
  * core.receive(message, clock.nowMillis());
- * Effects effects = core.drain();
- * send(effects.early());
+ * Effects effects = core.takeEffects();
+ * send(effects.beforeSync());
  * store.sync(effects);
- * core.synced();
+ * core.markSynced();
  * send(effects.afterSync());
  * apply(effects.committed());
  * }</pre>
@@ -261,7 +261,7 @@
    * Appends a membership change to the log if it is valid; at most one change is in progress at a
    * time.
    */
-  public Verdict change(MembershipChange change) {
+  public Verdict changeMembership(MembershipChange change) {
     if (leadership == null || leadership.isHandingOver()) {
       return Verdict.NOT_LEADER;
     }
@@ -273,7 +273,8 @@
         new MembershipChangeValidator(membership(), leadership::hasCaughtUp);
     Verdict verdict = validator.validate(change);
     if (verdict == Verdict.ACCEPTED) {
-      leadership.append(EntryKind.MEMBERSHIP, validator.apply(change).toList().toByteString());
+      leadership.append(
+          EntryKind.MEMBERSHIP, validator.apply(change).toMemberList().toByteString());
     }
     return verdict;
   }
@@ -285,11 +286,11 @@
    * @return whether this replica is the leader; if so, the read is returned in {@link
    *     Effects#reads()} or {@link Effects#failedReads()}
    */
-  public boolean read(long readId) {
+  public boolean requestRead(long readId) {
     if (leadership == null) {
       return false;
     }
-    leadership.read(readId);
+    leadership.requestRead(readId);
     return true;
   }
 
@@ -306,7 +307,7 @@
   }
 
   /** Returns and clears the effects of all steps since the last call. */
-  public Effects drain() {
+  public Effects takeEffects() {
     List<ConfirmedRead> reads = List.of();
     if (leadership != null) {
       leadership.flush();
@@ -327,8 +328,8 @@
         failed);
   }
 
-  /** Reports that all effects of the last {@link #drain()} are synced. */
-  public void synced() {
+  /** Reports that all effects of the last {@link #takeEffects()} are synced. */
+  public void markSynced() {
     state.markHardStateStored();
     state.log.markStored();
     if (role == Role.CANDIDATE) {
@@ -373,7 +374,7 @@
    * Returns whether this replica is the leader and has committed an entry of its term, so that it
    * knows all entries committed in earlier terms.
    */
-  public boolean isEstablished() {
+  public boolean hasCommittedInTerm() {
     return leadership != null && leadership.hasCommittedInTerm();
   }
 
@@ -389,7 +390,7 @@
    * Returns the time in milliseconds since the leader last had contact with a replica; 0 if this
    * replica is not the leader.
    */
-  public long silentMillis(long replicaId) {
+  public long unresponsiveMillis(long replicaId) {
     return leadership == null ? 0 : leadership.unresponsiveMillis(replicaId);
   }
 
--- a/alderyard-control/src/main/java/org/alderyard/control/raft/Replication.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/raft/Replication.java
@@ -103,7 +103,7 @@
                 SnapshotChunk.newBuilder()
                     .setLastIndex(snapshot.lastIndex())
                     .setLastTerm(snapshot.lastTerm())
-                    .setMembers(snapshot.membership().toList())
+                    .setMembers(snapshot.membership().toMemberList())
                     .setTotalBytes(snapshot.data().size())
                     .setOffsetBytes(start)
                     .setData(data)
--- a/alderyard-control/src/main/java/org/alderyard/control/service/ConfigurationService.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/service/ConfigurationService.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.CompletableFuture;
 import org.alderyard.control.log.ControlLog;
-import org.alderyard.control.state.ConfigurationRules;
+import org.alderyard.control.state.ConfigurationValidator;
 import org.alderyard.control.state.ControlState;
 import org.alderyard.protocol.generated.control.Command;
 import org.alderyard.protocol.generated.control.FetchConfigurationReply;
@@ -28,7 +28,7 @@
   }
 
   CompletableFuture<ReplaceConfigurationReply> replace(ReplaceConfigurationRequest request) {
-    ConfigurationRules.check(request.getConfiguration());
+    ConfigurationValidator.check(request.getConfiguration());
     return proposer
         .propose(
             Command.newBuilder().setReplaceConfiguration(request.getConfiguration()),
--- a/alderyard-control/src/main/java/org/alderyard/control/service/RegistryService.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/service/RegistryService.java
@@ -284,7 +284,7 @@
 
   /** Proposes the end of expired leases; does nothing on a host that is not the leader. */
   void expireLeases() {
-    if (!controlLog.leading()) {
+    if (!controlLog.isLeader()) {
       return;
     }
     List<LeaseTable.Expired<ServerId>> servers;
--- a/alderyard-control/src/main/java/org/alderyard/control/service/ViewService.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/service/ViewService.java
@@ -61,7 +61,7 @@
   private CompletableFuture<FetchViewReply> snapshot(Set<String> groupFilter, Duration wait) {
     Duration leaderWait = wait.compareTo(MAX_LEADER_WAIT) > 0 ? MAX_LEADER_WAIT : wait;
     return controlLog
-        .leaderKnown(leaderWait)
+        .whenLeaderKnown(leaderWait)
         .thenCompose(done -> controlLog.readBarrier())
         .thenApply(
             done -> {
--- a/alderyard-control/src/main/java/org/alderyard/control/state/ConfigurationRules.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/state/ConfigurationValidator.java
@@ -13,7 +13,7 @@
 import org.alderyard.protocol.generated.state.GroupLimits;
 
 /** Validates a session configuration independently of the one in force. */
-public final class ConfigurationRules {
+public final class ConfigurationValidator {
 
   /**
    * Size reserved for the other fields of a log command: its kind and the time at which it was
@@ -28,7 +28,7 @@
   static final int MAX_BYTES =
       ReplicatedLogOptions.DEFAULT_MAX_COMMAND_BYTES - COMMAND_OVERHEAD_BYTES;
 
-  private ConfigurationRules() {}
+  private ConfigurationValidator() {}
 
   /**
    * Validates a configuration.
--- a/alderyard-control/src/main/java/org/alderyard/control/state/ControlState.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/state/ControlState.java
@@ -132,9 +132,9 @@
       case HOST_EXPIRY -> applyChanges(index, hosts.expire(command.getHostExpiry()));
       case DRAIN_HOST -> applyDrain(index, command.getDrainHost()).toByteString();
       case FAILOVER_STEP -> {
-        var applied = failovers.apply(index, command.getFailoverStep(), view());
-        applyChanges(index, applied.changed());
-        yield applied.answer();
+        var result = failovers.apply(index, command.getFailoverStep(), view());
+        applyChanges(index, result.changed());
+        yield result.reply();
       }
       case REPLACE_CONFIGURATION ->
           applyConfiguration(index, command.getReplaceConfiguration()).toByteString();
@@ -154,7 +154,8 @@
         TicketAnswer.newBuilder()
             .setNumber(ticket.getNumber())
             .setContentHash(ticket.getContentHash());
-    List<FieldFault> faults = TicketRules.check(view(), hosts::isKnown, ticket.getObjectsList());
+    List<FieldFault> faults =
+        TicketValidator.check(view(), hosts::isKnown, ticket.getObjectsList());
     if (!faults.isEmpty()) {
       faults.forEach(fault -> answer.addFaults(faultMessage(fault)));
       return answer.setVerdict(TicketVerdict.INVALID).build();
--- a/alderyard-control/src/main/java/org/alderyard/control/state/FailoverHandler.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/state/FailoverHandler.java
@@ -11,8 +11,8 @@
   FailoverHandler NONE =
       new FailoverHandler() {
         @Override
-        public Applied apply(long index, ByteString step, View view) {
-          return new Applied(List.of(), ByteString.EMPTY);
+        public ApplyResult apply(long index, ByteString step, View view) {
+          return new ApplyResult(List.of(), ByteString.EMPTY);
         }
 
         @Override
@@ -30,12 +30,12 @@
    * Result of applying a step.
    *
    * @param changed the complete new state of each object that the step changed
-   * @param answer the reply to the host that proposed the step
+   * @param reply the reply to the host that proposed the step
    */
-  record Applied(List<ObjectState> changed, ByteString answer) {
+  record ApplyResult(List<ObjectState> changed, ByteString reply) {
 
     /** Copies the list of changed objects. */
-    public Applied {
+    public ApplyResult {
       changed = List.copyOf(changed);
     }
   }
@@ -44,7 +44,7 @@
    * Applies a step. The result must be deterministic: the same steps give the same result on every
    * host.
    */
-  Applied apply(long index, ByteString step, View view);
+  ApplyResult apply(long index, ByteString step, View view);
 
   /** Returns the handler's state, which is stored as a part of the control state's snapshot. */
   ByteString snapshot();
--- a/alderyard-control/src/main/java/org/alderyard/control/state/TicketRules.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/state/TicketValidator.java
@@ -23,7 +23,7 @@
 import org.alderyard.protocol.generated.state.Pool;
 
 /** Validates the objects of a ticket against the state that they would change. */
-public final class TicketRules {
+public final class TicketValidator {
   /** Maximum number of objects in a ticket. */
   public static final int MAX_OBJECTS = 10_000;
 
@@ -40,7 +40,7 @@
   private final Set<String> ticketGroups;
   private final List<FieldFault> faults = new ArrayList<>();
 
-  private TicketRules(View view, Predicate<String> isKnownHost, List<ObjectState> objects) {
+  private TicketValidator(View view, Predicate<String> isKnownHost, List<ObjectState> objects) {
     this.view = view;
     this.isKnownHost = isKnownHost;
     this.objects = objects;
@@ -59,7 +59,7 @@
    */
   public static List<FieldFault> check(
       View view, Predicate<String> isKnownHost, List<ObjectState> objects) {
-    return new TicketRules(view, isKnownHost, objects).validate();
+    return new TicketValidator(view, isKnownHost, objects).validate();
   }
 
   private List<FieldFault> validate() {
--- a/alderyard-control/src/main/java/org/alderyard/control/store/NumberedFile.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/store/NumberedFileName.java
@@ -1,8 +1,8 @@
 package org.alderyard.control.store;
 
 /** Builds file names that sort lexicographically by their number. */
-final class NumberedFile {
-  private NumberedFile() {}
+final class NumberedFileName {
+  private NumberedFileName() {}
 
   /**
    * Returns a file name with the number zero-padded to the given number of digits.
--- a/alderyard-control/src/main/java/org/alderyard/control/store/SegmentedLog.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/store/SegmentedLog.java
@@ -65,7 +65,7 @@
   /** Starts a segment with the current term and vote, so that older segments can be deleted. */
   private void startSegment(HardState hardState) {
     segmentNumber++;
-    path = folder.path().resolve(NumberedFile.format(PREFIX, segmentNumber, DIGITS, SUFFIX));
+    path = folder.path().resolve(NumberedFileName.format(PREFIX, segmentNumber, DIGITS, SUFFIX));
     sizeBytes = 0;
     try {
       file = opener.open(path);
--- a/alderyard-control/src/main/java/org/alderyard/control/store/SnapshotFiles.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/store/SnapshotFiles.java
@@ -30,11 +30,13 @@
         SnapshotHeader.newBuilder()
             .setLastIndex(snapshot.lastIndex())
             .setLastTerm(snapshot.lastTerm())
-            .setMembers(snapshot.membership().toList())
+            .setMembers(snapshot.membership().toMemberList())
             .setTotalBytes(snapshot.data().size())
             .build();
     Path path =
-        folder.path().resolve(NumberedFile.format(PREFIX, snapshot.lastIndex(), DIGITS, SUFFIX));
+        folder
+            .path()
+            .resolve(NumberedFileName.format(PREFIX, snapshot.lastIndex(), DIGITS, SUFFIX));
     atomicFile.write(path, List.of(header.toByteArray(), snapshot.data().toByteArray()));
     for (Path file : snapshotFiles()) {
       if (file.getFileName().compareTo(path.getFileName()) < 0) {
--- a/alderyard-control/src/test/java/org/alderyard/control/grant/ReturnRoomTest.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/grant/ReconnectHeadroomTest.java
@@ -13,7 +13,7 @@
  * still counts the earlier connections for some seconds. If the hosts held all connections that the
  * server accepts, it refused new ones meanwhile, and most reads and writes failed.
  */
-class ReturnRoomTest {
+class ReconnectHeadroomTest {
   private static final int ACCEPTED = 25;
   private static final int HOSTS = 11;
   private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
@@ -81,7 +81,7 @@
 
     assertThat(held).isEqualTo(2 * HOSTS);
     assertThat(ledger.grantedBeyondHeadroom(ACCEPTED, 4 * SECOND))
-        .isEqualTo(2 * HOSTS - ReturnRoom.steadyStateLimit(ACCEPTED));
+        .isEqualTo(2 * HOSTS - ReconnectHeadroom.steadyStateLimit(ACCEPTED));
   }
 
   @Test
@@ -93,8 +93,8 @@
 
   @Test
   void steadyStateLimitLeavesSameCountPlusOne() {
-    assertThat(ReturnRoom.steadyStateLimit(25)).isEqualTo(12);
-    assertThat(ReturnRoom.steadyStateLimit(44)).isEqualTo(21);
-    assertThat(ReturnRoom.steadyStateLimit(1)).isEqualTo(0);
+    assertThat(ReconnectHeadroom.steadyStateLimit(25)).isEqualTo(12);
+    assertThat(ReconnectHeadroom.steadyStateLimit(44)).isEqualTo(21);
+    assertThat(ReconnectHeadroom.steadyStateLimit(1)).isEqualTo(0);
   }
 }
--- a/alderyard-control/src/test/java/org/alderyard/control/log/LeaderWaitsTest.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/log/LeaderWaitQueueTest.java
@@ -13,10 +13,10 @@
  * a view before a leader is elected. Without the wait, each host was refused and retried at the
  * next control host ten times a second, which loaded the control hosts during the election.
  */
-class LeaderWaitsTest {
+class LeaderWaitQueueTest {
   private static final Duration LONG_TIMEOUT = Duration.ofMinutes(1);
 
-  private final LeaderWaits queue = new LeaderWaits();
+  private final LeaderWaitQueue queue = new LeaderWaitQueue();
 
   @Test
   void completesOnceLeaderIsKnown() {
--- a/alderyard-control/src/test/java/org/alderyard/control/log/LogHost.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/log/LogHost.java
@@ -45,7 +45,7 @@
             .host(host, self)
             .members(members)
             .dataFolder(folder)
-            .machine(this)
+            .stateMachine(this)
             .network(links, dispatcher)
             .callbacks(workers)
             .random(new SecureRandom())
@@ -108,8 +108,8 @@
   }
 
   @Override
-  public synchronized void onLeadership(long term, boolean leading) {
-    leadership.add(term + (leading ? " leads" : " ends"));
+  public synchronized void onLeadershipChange(long term, boolean isLeader) {
+    leadership.add(term + (isLeader ? " leads" : " ends"));
   }
 
   @Override
--- a/alderyard-control/src/test/java/org/alderyard/control/log/ReplicatedLogTest.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/log/ReplicatedLogTest.java
@@ -60,9 +60,10 @@
   }
 
   private int leader() {
-    LogHost.await("a leader", () -> hosts.values().stream().anyMatch(host -> host.log().leading()));
+    LogHost.await(
+        "a leader", () -> hosts.values().stream().anyMatch(host -> host.log().isLeader()));
     return hosts.entrySet().stream()
-        .filter(entry -> entry.getValue().log().leading())
+        .filter(entry -> entry.getValue().log().isLeader())
         .map(Map.Entry::getKey)
         .findFirst()
         .orElseGet(this::leader);
@@ -183,7 +184,7 @@
 
   private long replicaOf(int number) {
     Membership membership = hosts.get(leader()).log().status().membership();
-    return membership.membersOf("control-" + number).get(0).getReplicaId();
+    return membership.membersOnHost("control-" + number).get(0).getReplicaId();
   }
 
   private void wipe(int number) throws Exception {
@@ -228,7 +229,7 @@
 
     AlderyardException error = failure(log.propose(ByteString.copyFromUtf8("no majority")));
     assertThat(error.code()).isEqualTo(ErrorCode.NOT_LEADER);
-    LogHost.await("the resignation of the leader", () -> !log.leading());
+    LogHost.await("the resignation of the leader", () -> !log.isLeader());
     // The listener is notified after the status has changed.
     List<String> notifications = hosts.get(leader).leadership;
     LogHost.await("the notification of the listener", () -> notifications.size() >= 2);
@@ -263,7 +264,7 @@
     start(removed);
     proposeMany(60);
     assertThat(leader.log().status().membership().member(replica).isPresent()).isFalse();
-    assertThat(leader.log().leading()).isTrue();
+    assertThat(leader.log().isLeader()).isTrue();
     assertThat(hosts.get(removed).commands()).doesNotContain("command-60");
   }
 
--- a/alderyard-control/src/test/java/org/alderyard/control/promotion/PromotionServiceTest.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/promotion/PromotionServiceTest.java
@@ -42,7 +42,7 @@
 
   private final WorkerPool workers = new WorkerPool("test", 2);
   private final List<Call> calls = Collections.synchronizedList(new ArrayList<>());
-  private final List<PromotionAnswer> scriptedAnswers =
+  private final List<PromotionResponse> scriptedResponses =
       Collections.synchronizedList(new ArrayList<>());
   private final Map<String, ServerStanding> standings = new HashMap<>();
   private volatile ServerStatus primaryStatus = ServerStatus.ACTIVE;
@@ -88,10 +88,12 @@
                         () ->
                             CompletableFuture.failedFuture(
                                 AlderyardException.notRun(ErrorCode.CONNECTION_LOST, "gone"))),
-            (group, server, holder, token) -> {
+            (group, server, controlLeader, token) -> {
               calls.add(new Call(server.value(), token));
               return CompletableFuture.completedFuture(
-                  scriptedAnswers.isEmpty() ? PromotionAnswer.ACCEPTED : scriptedAnswers.remove(0));
+                  scriptedResponses.isEmpty()
+                      ? PromotionResponse.ACCEPTED
+                      : scriptedResponses.remove(0));
             },
             workers,
             MonotonicClock.system());
@@ -122,8 +124,8 @@
     // Guards against two primaries: the service executes a call, but its response is lost. A new
     // token for another server would appoint a second primary seconds after the first.
     standings.put("s2", standing(10, 0));
-    scriptedAnswers.add(PromotionAnswer.UNKNOWN);
-    scriptedAnswers.add(PromotionAnswer.THROTTLED);
+    scriptedResponses.add(PromotionResponse.UNKNOWN);
+    scriptedResponses.add(PromotionResponse.THROTTLED);
     primaryStatus = ServerStatus.GONE;
     startService();
 
@@ -134,7 +136,7 @@
   @Test
   void refusedCallIsNotRepeatedWithItsToken() throws Exception {
     standings.put("s2", standing(10, 0));
-    scriptedAnswers.add(PromotionAnswer.REFUSED);
+    scriptedResponses.add(PromotionResponse.REFUSED);
     primaryStatus = ServerStatus.LEAVING;
     startService();
 
@@ -170,7 +172,7 @@
     }
 
     @Override
-    public boolean leading() {
+    public boolean isLeader() {
       return true;
     }
 
--- a/alderyard-control/src/test/java/org/alderyard/control/raft/RaftFailureTest.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/raft/RaftFailureTest.java
@@ -39,8 +39,8 @@
     return cluster.runningReplicas().stream().filter(other -> other != replica).toList();
   }
 
-  private static void change(RaftReplica leader, MembershipChange change) {
-    assertThat(leader.core().change(change)).isEqualTo(Verdict.ACCEPTED);
+  private static void changeMembership(RaftReplica leader, MembershipChange change) {
+    assertThat(leader.core().changeMembership(change)).isEqualTo(Verdict.ACCEPTED);
     leader.performEffects(false);
   }
 
@@ -117,16 +117,16 @@
     RaftReplica oldLeader = proposeCommands(cluster.runUntilConverged(), 1);
     cluster.isolate(oldLeader.id);
     cluster.invariants.recordRead(1);
-    assertThat(oldLeader.core().read(1)).isTrue();
-    Effects effects = oldLeader.core().drain();
-    oldLeader.core().synced();
+    assertThat(oldLeader.core().requestRead(1)).isTrue();
+    Effects effects = oldLeader.core().takeEffects();
+    oldLeader.core().markSynced();
     assertThat(effects.reads()).isEmpty();
 
     cluster.advanceClock(ELECTION_MILLIS);
     oldLeader.core().tick(cluster.nowMillis());
 
-    assertThat(oldLeader.core().drain().failedReads()).containsExactly(1L);
-    assertThat(oldLeader.core().read(2)).isFalse();
+    assertThat(oldLeader.core().takeEffects().failedReads()).containsExactly(1L);
+    assertThat(oldLeader.core().requestRead(2)).isFalse();
   }
 
   /**
@@ -184,13 +184,13 @@
             cluster.nowMillis());
     assertThat(replacement.core().term()).isEqualTo(0);
 
-    change(leader, new AddLearner(RaftCluster.member(replacement.id)));
-    assertThat(leader.core().change(new Promote(replacement.id)))
+    changeMembership(leader, new AddLearner(RaftCluster.member(replacement.id)));
+    assertThat(leader.core().changeMembership(new Promote(replacement.id)))
         .isEqualTo(Verdict.CHANGE_IN_PROGRESS);
     cluster.runUntilConverged();
-    change(leader, new Remove(wiped.id));
+    changeMembership(leader, new Remove(wiped.id));
     cluster.runUntilConverged();
-    change(leader, new Promote(replacement.id));
+    changeMembership(leader, new Promote(replacement.id));
     cluster.runUntilConverged();
     final long digest = leader.digest();
     leader.crash();
@@ -208,10 +208,10 @@
   void learnerThatIsBehindIsNotPromoted() {
     RaftReplica leader = proposeCommands(cluster.runUntilConverged(), 20);
     cluster.add(4, Membership.EMPTY).crash();
-    change(leader, new AddLearner(RaftCluster.member(4)));
+    changeMembership(leader, new AddLearner(RaftCluster.member(4)));
     cluster.run(ELECTION_MILLIS);
 
-    assertThat(leader.core().change(new Promote(4))).isEqualTo(Verdict.LEARNER_BEHIND);
+    assertThat(leader.core().changeMembership(new Promote(4))).isEqualTo(Verdict.LEARNER_BEHIND);
     assertThat(leader.core().membership().voters()).containsExactly(1L, 2L, 3L);
   }
 
@@ -225,7 +225,7 @@
     RaftReplica leader = proposeCommands(cluster.runUntilConverged(), 2);
     RaftReplica removed = othersExcept(leader).get(0);
     cluster.isolate(removed.id);
-    change(leader, new Remove(removed.id));
+    changeMembership(leader, new Remove(removed.id));
     cluster.run(ELECTION_MILLIS);
     final long term = leader.core().term();
 
@@ -377,10 +377,11 @@
       newLeader =
           othersExcept(oldLeader).stream().filter(RaftReplica::isLeader).findFirst().orElse(null);
     }
-    assertThat(newLeader.core().change(new Remove(oldLeader.id)))
+    assertThat(newLeader.core().changeMembership(new Remove(oldLeader.id)))
         .isEqualTo(Verdict.CHANGE_IN_PROGRESS);
     cluster.run(RaftReplica.OPTIONS.heartbeatMillis());
-    assertThat(newLeader.core().change(new Remove(oldLeader.id))).isEqualTo(Verdict.ACCEPTED);
+    assertThat(newLeader.core().changeMembership(new Remove(oldLeader.id)))
+        .isEqualTo(Verdict.ACCEPTED);
   }
 
   /**
--- a/alderyard-control/src/test/java/org/alderyard/control/raft/RaftReplica.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/raft/RaftReplica.java
@@ -74,18 +74,19 @@
   }
 
   /**
-   * Performs all effects. A simulated crash happens after the early messages and before the sync.
+   * Performs all effects. A simulated crash happens after the messages that need no sync and before
+   * the sync.
    */
   void performEffects(boolean crashBeforeSync) {
     for (int pass = 0; pass < 2; pass++) {
-      Effects effects = core.drain();
-      effects.early().forEach(sender);
+      Effects effects = core.takeEffects();
+      effects.beforeSync().forEach(sender);
       if (crashBeforeSync && effects.needsSync()) {
         crash();
         return;
       }
       sync(effects);
-      core.synced();
+      core.markSynced();
       effects.afterSync().forEach(sender);
       effects.committed().forEach(this::apply);
       effects.reads().forEach(invariants::checkConfirmedRead);
--- a/alderyard-control/src/test/java/org/alderyard/control/raft/RaftScheduleTest.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/raft/RaftScheduleTest.java
@@ -136,7 +136,7 @@
               leader -> {
                 nextReadId++;
                 cluster.invariants.recordRead(nextReadId);
-                leader.core().read(nextReadId);
+                leader.core().requestRead(nextReadId);
                 leader.performEffects(false);
               });
     }
@@ -181,7 +181,7 @@
       anyLeader()
           .ifPresent(
               leader -> {
-                leader.core().change(randomChange(leader.core().membership()));
+                leader.core().changeMembership(randomChange(leader.core().membership()));
                 leader.performEffects(false);
               });
     }
@@ -257,7 +257,7 @@
           assertThat(cluster.replica(id).digest()).isEqualTo(finalLeader.digest());
         }
       }
-      assertThat(leader.core().change(new Remove(-1))).isNotEqualTo(Verdict.ACCEPTED);
+      assertThat(leader.core().changeMembership(new Remove(-1))).isNotEqualTo(Verdict.ACCEPTED);
     }
   }
 }
--- a/alderyard-control/src/test/java/org/alderyard/control/service/FakeLog.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/service/FakeLog.java
@@ -22,8 +22,8 @@
   private long term;
   private boolean loseAnswers;
 
-  Replica replica(String host, StateMachine machine) {
-    Replica replica = new Replica(new HostId(host), machine);
+  Replica replica(String host, StateMachine stateMachine) {
+    Replica replica = new Replica(new HostId(host), stateMachine);
     replicas.add(replica);
     return replica;
   }
@@ -45,12 +45,12 @@
 
   final class Replica implements ControlLog {
     private final HostId host;
-    private StateMachine machine;
+    private StateMachine stateMachine;
     private int applied;
 
-    Replica(HostId host, StateMachine machine) {
+    Replica(HostId host, StateMachine stateMachine) {
       this.host = host;
-      this.machine = machine;
+      this.stateMachine = stateMachine;
     }
 
     /** Applies the next command. Returns false if there is none. */
@@ -58,7 +58,7 @@
       if (applied == committed.size()) {
         return false;
       }
-      machine.apply(applied + 1, committed.get(applied));
+      stateMachine.apply(applied + 1, committed.get(applied));
       applied++;
       return true;
     }
@@ -70,10 +70,10 @@
     }
 
     /** Replaces the state machine by one that is restored from the current snapshot. */
-    void restart(StateMachine newMachine) {
-      ByteString snapshot = machine.snapshot();
-      machine = newMachine;
-      newMachine.restore(applied, snapshot);
+    void restart(StateMachine newStateMachine) {
+      ByteString snapshot = stateMachine.snapshot();
+      stateMachine = newStateMachine;
+      newStateMachine.restore(applied, snapshot);
     }
 
     @Override
@@ -84,7 +84,7 @@
       applyAll();
       committed.add(command);
       applied++;
-      ByteString answer = machine.apply(applied, command);
+      ByteString answer = stateMachine.apply(applied, command);
       return loseAnswers
           ? CompletableFuture.failedFuture(
               AlderyardException.unknown(ErrorCode.CONNECTION_LOST, "the reply was lost", null))
@@ -106,7 +106,7 @@
     }
 
     @Override
-    public boolean leading() {
+    public boolean isLeader() {
       return leader == this;
     }
 
--- a/alderyard-control/src/test/java/org/alderyard/control/state/ConfigurationSizeTest.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/state/ConfigurationSizeTest.java
@@ -25,10 +25,11 @@
   @Test
   void largestConfigurationIsAccepted() {
     int overhead =
-        configurationWithSource(ConfigurationRules.MAX_BYTES).getSerializedSize()
-            - ConfigurationRules.MAX_BYTES;
+        configurationWithSource(ConfigurationValidator.MAX_BYTES).getSerializedSize()
+            - ConfigurationValidator.MAX_BYTES;
 
-    ConfigurationRules.check(configurationWithSource(ConfigurationRules.MAX_BYTES - overhead));
+    ConfigurationValidator.check(
+        configurationWithSource(ConfigurationValidator.MAX_BYTES - overhead));
   }
 
   @Test
@@ -36,7 +37,9 @@
     AlderyardException refusal =
         assertThrows(
             AlderyardException.class,
-            () -> ConfigurationRules.check(configurationWithSource(ConfigurationRules.MAX_BYTES)));
+            () ->
+                ConfigurationValidator.check(
+                    configurationWithSource(ConfigurationValidator.MAX_BYTES)));
 
     assertThat(refusal.code()).isEqualTo(ErrorCode.REQUEST_TOO_LARGE);
   }
--- a/alderyard-control/src/test/java/org/alderyard/control/state/ConfigurationStateTest.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/state/ConfigurationStateTest.java
@@ -131,8 +131,8 @@
                 Database.newBuilder().setName("a").setGroup("none").setStatementTimeoutMillis(1))
             .build();
 
-    assertThat(ConfigurationRules.faults(invalid).stream().map(FieldFault::field))
+    assertThat(ConfigurationValidator.faults(invalid).stream().map(FieldFault::field))
         .containsExactly("group", "statement-timeout", "group", "scope");
-    assertThat(ConfigurationRules.faults(configuration(1, "x", "g1"))).isEmpty();
+    assertThat(ConfigurationValidator.faults(configuration(1, "x", "g1"))).isEmpty();
   }
 }
--- a/alderyard-control/src/test/java/org/alderyard/control/state/TicketStateTest.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/state/TicketStateTest.java
@@ -266,8 +266,8 @@
     FailoverHandler handler =
         new FailoverHandler() {
           @Override
-          public Applied apply(long at, ByteString step, org.alderyard.common.view.View view) {
-            return new Applied(List.of(group("g1", 3)), step);
+          public ApplyResult apply(long at, ByteString step, org.alderyard.common.view.View view) {
+            return new ApplyResult(List.of(group("g1", 3)), step);
           }
 
           @Override
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/ControlStack.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/ControlStack.java
@@ -66,7 +66,7 @@
     GaugeWithCallback.builder()
         .name("alderyard_connections_beyond_return_room")
         .help("Granted connections that leave less room for a return of all hosts at once.")
-        .callback(callback -> callback.call(grants.beyondReturnRoom()))
+        .callback(callback -> callback.call(grants.grantedBeyondHeadroom()))
         .register(host.registry);
   }
 
@@ -83,7 +83,7 @@
             .host(settings.host(), settings.innerAddress())
             .members(host.controlHosts.listed())
             .dataFolder(settings.dataFolder().get())
-            .machine(state)
+            .stateMachine(state)
             .network(host.links, host.dispatcher)
             .callbacks(host.controlWorkers)
             .clock(host.clock)
@@ -99,7 +99,7 @@
         .open()
         .ifPresent(
             open ->
-                builder.open(
+                builder.openMembership(
                     new OpenMembership(
                         open.voters(), open.mayFound(), host.controlHosts::addresses)));
     return builder.start();
