--- a/alderyard-backend/src/main/java/org/alderyard/backend/BackendStatement.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/BackendStatement.java
@@ -9,12 +9,13 @@
  * A statement for a backend server.
  *
  * @param kind whether it may change data
- * @param key the key that it is about
- * @param text the statement
- * @param parameters its parameters, JSON values
- * @param term the term of the group that the sender acts in; a server of another term refuses it
- * @param ledgerKey where to record a write so that a resend is answered without a second run; only
- *     servers that announce this ability honour it
+ * @param key the data key that the statement accesses
+ * @param text the statement text
+ * @param parameters the parameters as JSON values
+ * @param term the group's term as the sender knows it; a server at another term refuses the
+ *     statement
+ * @param ledgerKey the key under which the server records a write, so that a resent write gets the
+ *     recorded response and does not run twice; only servers that report a ledger use the key
  */
 public record BackendStatement(
     StatementKind kind,
@@ -24,7 +25,7 @@
     long term,
     Optional<LedgerKey> ledgerKey) {
 
-  /** Checks and copies. */
+  /** Rejects null components and copies the list. */
   public BackendStatement {
     Objects.requireNonNull(kind);
     Objects.requireNonNull(key);
--- a/alderyard-backend/src/main/java/org/alderyard/backend/LedgerKey.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/LedgerKey.java
@@ -4,9 +4,9 @@
 import org.alderyard.common.id.RequestId;
 
 /**
- * The name of a request, under which a server that can do so records its answer.
+ * Key under which a server with a request ledger records the response to a request.
  *
- * @param caller the caller
- * @param request the request id, unique for the caller
+ * @param caller the caller that sent the request
+ * @param request the request id, unique within the caller
  */
 public record LedgerKey(CallerId caller, RequestId request) {}
--- a/alderyard-backend/src/main/java/org/alderyard/backend/Progress.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/Progress.java
@@ -1,9 +1,9 @@
 package org.alderyard.backend;
 
-/** How far a server must have come with a log entry. */
+/** How far a server must have processed a log entry. */
 public enum Progress {
-  /** Its log holds the entry. */
+  /** The entry is in the server's log. */
   HELD,
-  /** Its reads show the entry. */
+  /** The entry is applied and visible to reads. */
   APPLIED
 }
--- a/alderyard-backend/src/main/java/org/alderyard/backend/ServerAdmin.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/ServerAdmin.java
@@ -5,25 +5,25 @@
 import java.util.concurrent.CompletableFuture;
 import org.alderyard.common.id.Position;
 
-/** The calls about a server itself: its state, and the steps that replace a primary. */
+/** Administrative calls to a backend server: state queries and the steps of a failover. */
 public interface ServerAdmin {
 
-  /** Returns what the server says of itself. */
+  /** Returns the server's own report of its state. */
   CompletableFuture<ServerReport> state(InetSocketAddress server, Duration timeout);
 
   /**
-   * Waits until the server has come to a position.
+   * Waits until the server has reached a log position.
    *
-   * @return the server's state once it holds the position in that term's history, or its state when
-   *     {@code wait} is over, whichever comes first
+   * @return the server's state when it has reached the position in the history of that term, or
+   *     when {@code wait} has elapsed, whichever comes first
    */
   CompletableFuture<ServerReport> awaitPosition(
       InetSocketAddress server, Position position, Progress progress, Duration wait);
 
-  /** Makes the server refuse writes and replication of lower terms; returns its state after. */
+  /** Makes the server refuse writes and replication of lower terms; returns its new state. */
   CompletableFuture<ServerReport> fence(InetSocketAddress server, long term, Duration timeout);
 
-  /** Makes the server, fenced at this term, its primary; the call can be repeated. */
+  /** Promotes a server that is fenced at this term to its primary. The call is idempotent. */
   CompletableFuture<ServerReport> promote(InetSocketAddress server, long term, Duration timeout);
 
   /** Makes the server a replica of the primary of this term. */
--- a/alderyard-backend/src/main/java/org/alderyard/backend/ServerConnection.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/ServerConnection.java
@@ -4,22 +4,22 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * One database connection: it runs one request at a time.
+ * A database connection that runs one request at a time.
  *
- * <p>After a failure that leaves doubt about what the server still sends (a timeout, a broken or
- * unreadable answer) the connection is closed and {@link #usable()} is false for ever.
+ * <p>A timeout or a truncated or malformed response leaves it unknown what the server still sends;
+ * after such a failure the connection is closed and {@link #usable()} stays false.
  */
 public interface ServerConnection extends PooledConnection {
 
-  /** Runs a statement, inside the transaction of this connection if one is open. */
+  /** Runs a statement, within the transaction of this connection if one is open. */
   CompletableFuture<BackendAnswer> run(BackendStatement statement, Duration timeout);
 
   /** Opens a transaction on this connection. */
   CompletableFuture<Void> begin(long term, Duration timeout);
 
-  /** Commits the transaction and returns the answer with the position of its last entry. */
+  /** Commits the transaction and returns a response with the position of its last log entry. */
   CompletableFuture<BackendAnswer> commit(Duration timeout);
 
-  /** Drops the transaction. */
+  /** Rolls back the transaction. */
   CompletableFuture<Void> rollback(Duration timeout);
 }
--- a/alderyard-backend/src/main/java/org/alderyard/backend/ServerConnector.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/ServerConnector.java
@@ -8,6 +8,6 @@
 @FunctionalInterface
 public interface ServerConnector {
 
-  /** Opens a connection; the failure of the future says {@code NOT_RUN}. */
+  /** Opens a connection; a failed future has the outcome {@code NOT_RUN}. */
   CompletableFuture<ServerConnection> connect(InetSocketAddress address, Duration timeout);
 }
--- a/alderyard-backend/src/main/java/org/alderyard/backend/ServerReport.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/ServerReport.java
@@ -7,17 +7,18 @@
 import org.alderyard.common.view.TermStart;
 
 /**
- * What a backend server says of itself.
+ * State of a backend server as the server reports it.
  *
- * @param server its name
- * @param incarnation grows with each of its starts
- * @param group its group
- * @param term the highest term that it has seen; it refuses anything of a lower one
- * @param role what it is
- * @param held the last entry that its log holds; a failover keeps what a majority holds
- * @param applied the last entry that its reads show; never beyond {@code held}
- * @param termStarts where each term of its log begins, oldest first
- * @param ledger whether it records the answer of a write under its ledger key
+ * @param server the server's id
+ * @param incarnation number that increases with each start of the server
+ * @param group the server's database group
+ * @param term the highest term that the server has seen; it refuses requests of a lower term
+ * @param role the server's role in its group
+ * @param held the last entry in the server's log; a failover keeps the entries that a majority
+ *     holds
+ * @param applied the last entry that is visible to reads; never beyond {@code held}
+ * @param termStarts where each term of the server's log begins, oldest first
+ * @param ledger whether the server records the response to a write under its ledger key
  */
 public record ServerReport(
     ServerId server,
@@ -30,7 +31,7 @@
     List<TermStart> termStarts,
     boolean ledger) {
 
-  /** Copies. */
+  /** Copies the list. */
   public ServerReport {
     termStarts = List.copyOf(termStarts);
   }
--- a/alderyard-backend/src/main/java/org/alderyard/backend/ServerRole.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/ServerRole.java
@@ -1,11 +1,11 @@
 package org.alderyard.backend;
 
-/** What a backend server is in its group, as it reports itself. */
+/** Role of a backend server in its group, as the server reports it. */
 public enum ServerRole {
-  /** It takes writes of its term. */
+  /** Accepts writes of its term. */
   PRIMARY,
-  /** It follows the log of a primary. */
+  /** Replicates the log of a primary. */
   REPLICA,
-  /** It takes no writes and follows no one until it is promoted or told whom to follow. */
+  /** Accepts no writes and replicates from no server until a promote or follow call. */
   FENCED
 }
--- a/alderyard-backend/src/main/java/org/alderyard/backend/StatementKind.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/StatementKind.java
@@ -2,8 +2,8 @@
 
 /** Whether a statement may change data. */
 public enum StatementKind {
-  /** It changes nothing. */
+  /** Changes no data. */
   READ,
-  /** It may change data and runs on the primary only. */
+  /** May change data and runs on the primary only. */
   WRITE
 }
--- a/alderyard-backend/src/main/java/org/alderyard/backend/http/BackendJson.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/http/BackendJson.java
@@ -25,7 +25,7 @@
 import org.alderyard.common.id.ServerId;
 import org.alderyard.common.view.TermStart;
 
-/** The JSON bodies of the backend protocol, for both of its ends. */
+/** Encodes and decodes the JSON bodies of the backend protocol, for clients and servers. */
 public final class BackendJson {
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
@@ -36,36 +36,34 @@
     return MAPPER.createObjectNode();
   }
 
-  /** Reads a body; one that is no JSON object is a typed error. */
+  /** Parses a body; throws {@code BACKEND_PROTOCOL} if the body is not a JSON object. */
   public static JsonNode parse(byte[] body) {
     try {
       JsonNode node = MAPPER.readTree(body);
       if (node != null && node.isObject()) {
         return node;
       }
-    } catch (java.io.IOException damaged) {
-      throw unreadable("it is not JSON");
+    } catch (java.io.IOException exception) {
+      throw malformedBody("it is not JSON");
     }
-    throw unreadable("it is not a JSON object");
+    throw malformedBody("it is not a JSON object");
   }
 
-  private static AlderyardException unreadable(String reason) {
+  private static AlderyardException malformedBody(String reason) {
     return AlderyardException.unknown(
-        ErrorCode.BACKEND_PROTOCOL,
-        "a body of the backend protocol can't be read: " + reason,
-        null);
+        ErrorCode.BACKEND_PROTOCOL, "malformed body in the backend protocol: " + reason, null);
   }
 
-  /** Returns the bytes of a body. */
+  /** Serializes a body. */
   public static byte[] bytes(JsonNode node) {
     try {
       return MAPPER.writeValueAsBytes(node);
-    } catch (JsonProcessingException impossible) {
-      throw unreadable(impossible.getMessage());
+    } catch (JsonProcessingException exception) {
+      throw malformedBody(exception.getMessage());
     }
   }
 
-  /** Returns the body of a statement. */
+  /** Encodes a statement. */
   public static ObjectNode statement(BackendStatement statement) {
     ObjectNode node = object();
     node.put("kind", statement.kind().name().toLowerCase(Locale.ROOT));
@@ -84,7 +82,7 @@
     return node;
   }
 
-  /** Returns the statement of a body. */
+  /** Decodes a statement. */
   public static BackendStatement statement(JsonNode node) {
     List<JsonNode> parameters = new ArrayList<>();
     node.path("parameters").forEach(parameters::add);
@@ -104,7 +102,7 @@
         ledgerKey);
   }
 
-  /** Returns the body of an answer. */
+  /** Encodes the response to a statement. */
   public static ObjectNode answer(BackendAnswer answer) {
     ObjectNode node = object();
     node.set("result", answer.result());
@@ -112,10 +110,10 @@
     return node;
   }
 
-  /** Returns the answer of a body. */
+  /** Decodes the response to a statement; throws if the body has no position. */
   public static BackendAnswer answer(JsonNode node) {
     if (!node.has("position")) {
-      throw unreadable("an answer without a position");
+      throw malformedBody("the response has no position");
     }
     return new BackendAnswer(node.path("result"), position(node.path("position")));
   }
@@ -124,12 +122,12 @@
     return object().put("term", position.term()).put("index", position.index());
   }
 
-  /** Returns the position of a body's part. */
+  /** Decodes a log position. */
   public static Position position(JsonNode node) {
     return new Position(node.path("term").asLong(), node.path("index").asLong());
   }
 
-  /** Returns the body of a server's state. */
+  /** Encodes the state of a server. */
   public static ObjectNode report(ServerReport report) {
     ObjectNode node = object();
     node.put("server", report.server().value());
@@ -140,18 +138,22 @@
     node.set("held", position(report.held()));
     node.set("applied", position(report.applied()));
     node.put("ledger", report.ledger());
-    ArrayNode starts = node.putArray("termStarts");
-    for (TermStart start : report.termStarts()) {
-      starts.addObject().put("term", start.term()).put("startIndex", start.startIndex());
+    ArrayNode termStarts = node.putArray("termStarts");
+    for (TermStart termStart : report.termStarts()) {
+      termStarts
+          .addObject()
+          .put("term", termStart.term())
+          .put("startIndex", termStart.startIndex());
     }
     return node;
   }
 
-  /** Returns the state of a body. */
+  /** Decodes the state of a server; throws if the role is unknown. */
   public static ServerReport report(JsonNode node) {
-    List<TermStart> starts = new ArrayList<>();
-    for (JsonNode start : node.path("termStarts")) {
-      starts.add(new TermStart(start.path("term").asLong(), start.path("startIndex").asLong()));
+    List<TermStart> termStarts = new ArrayList<>();
+    for (JsonNode termStart : node.path("termStarts")) {
+      termStarts.add(
+          new TermStart(termStart.path("term").asLong(), termStart.path("startIndex").asLong()));
     }
     try {
       return new ServerReport(
@@ -162,31 +164,31 @@
           ServerRole.valueOf(node.path("role").asText().toUpperCase(Locale.ROOT)),
           position(node.path("held")),
           position(node.path("applied")),
-          starts,
+          termStarts,
           node.path("ledger").asBoolean());
     } catch (IllegalArgumentException unknownRole) {
-      throw unreadable("role '" + node.path("role").asText() + "'");
+      throw malformedBody("unknown role '" + node.path("role").asText() + "'");
     }
   }
 
-  /** Returns the body of a refusal. */
-  public static ObjectNode refusal(BackendException refused) {
+  /** Encodes a refusal. */
+  public static ObjectNode refusal(BackendException exception) {
     ObjectNode node = object();
     node.putObject("error")
-        .put("code", refused.refusal().name())
-        .put("message", refused.getMessage());
+        .put("code", exception.refusal().name())
+        .put("message", exception.getMessage());
     return node;
   }
 
-  /** Returns the error of a body that holds a refusal. */
+  /** Decodes a refusal; returns {@code BACKEND_PROTOCOL} if its code is unknown. */
   public static AlderyardException refusal(JsonNode node) {
     JsonNode error = node.path("error");
     try {
       return new BackendException(
           BackendException.Refusal.valueOf(error.path("code").asText()),
           error.path("message").asText());
-    } catch (IllegalArgumentException newerServer) {
-      return unreadable("refusal '" + error.path("code").asText() + "'");
+    } catch (IllegalArgumentException unknownCode) {
+      return malformedBody("unknown refusal code '" + error.path("code").asText() + "'");
     }
   }
 }
--- a/alderyard-backend/src/main/java/org/alderyard/backend/http/BackendPaths.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/http/BackendPaths.java
@@ -2,9 +2,9 @@
 
 import io.undertow.util.HttpString;
 
-/** The paths of the backend protocol. */
+/** Paths and headers of the backend protocol. */
 public final class BackendPaths {
-  /** The header that numbers a request on its connection, and that its answer repeats. */
+  /** Header with the number of a request on its connection; the response repeats it. */
   public static final HttpString REQUEST_NUMBER = new HttpString("Alderyard-Request");
 
   /** Runs a statement. */
@@ -16,22 +16,22 @@
   /** Commits the transaction of the connection. */
   public static final String COMMIT = "/v1/transaction/commit";
 
-  /** Drops the transaction of the connection. */
+  /** Rolls back the transaction of the connection. */
   public static final String ROLLBACK = "/v1/transaction/rollback";
 
   /** Returns the server's state. */
   public static final String STATE = "/v1/state";
 
-  /** Returns the server's state once it holds a position. */
+  /** Returns the server's state when the server has reached a position. */
   public static final String WAIT = "/v1/wait";
 
   /** Fences the server at a term. */
   public static final String FENCE = "/v1/fence";
 
-  /** Promotes the server. */
+  /** Promotes the server to primary. */
   public static final String PROMOTE = "/v1/promote";
 
-  /** Makes the server follow a primary. */
+  /** Makes the server a replica of a primary. */
   public static final String FOLLOW = "/v1/follow";
 
   private BackendPaths() {}
--- a/alderyard-backend/src/main/java/org/alderyard/backend/http/HttpConnector.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/http/HttpConnector.java
@@ -24,13 +24,13 @@
 /** Opens HTTP connections to backend servers. */
 public final class HttpConnector implements ServerConnector {
   private static final int BUFFER_BYTES = 16 * 1024;
-  private static final int DEFAULT_MAX_ANSWER_BYTES = 16 * 1024 * 1024;
+  private static final int MAX_RESPONSE_BYTES = 16 * 1024 * 1024;
 
   private final XnioWorker ioWorker;
   private final WorkerPool workers;
   private final ByteBufferPool buffers = new DefaultByteBufferPool(true, BUFFER_BYTES, -1, 4);
 
-  /** Uses the given I/O threads; the caller closes them. */
+  /** Creates a connector on the given I/O threads, which the caller shuts down. */
   public HttpConnector(XnioWorker ioWorker, WorkerPool workers) {
     this.ioWorker = ioWorker;
     this.workers = workers;
@@ -50,27 +50,27 @@
             new ClientCallback<ClientConnection>() {
               @Override
               public void completed(ClientConnection connection) {
-                boolean taken =
+                boolean accepted =
                     opened.complete(
-                        new HttpServerConnection(connection, workers, DEFAULT_MAX_ANSWER_BYTES));
-                if (!taken) {
+                        new HttpServerConnection(connection, workers, MAX_RESPONSE_BYTES));
+                if (!accepted) {
                   IoUtils.safeClose(connection);
                 }
               }
 
               @Override
-              public void failed(IOException refused) {
+              public void failed(IOException exception) {
                 opened.completeExceptionally(
                     AlderyardException.notRun(
                         ErrorCode.CONNECTION_LOST,
-                        "no connection to " + address + ": " + refused.getMessage()));
+                        "cannot connect to " + address + ": " + exception.getMessage()));
               }
             },
             uri,
             ioWorker,
             buffers,
             options);
-    var timer =
+    var timeoutTask =
         workers.schedule(
             timeout,
             () ->
@@ -78,8 +78,8 @@
                     new AlderyardException(
                         ErrorCode.CONNECTION_LOST,
                         Outcome.NOT_RUN,
-                        "no connection to " + address + " in " + timeout.toMillis() + " ms")));
-    opened.whenComplete((connection, failure) -> timer.cancel(false));
+                        "cannot connect to " + address + " within " + timeout.toMillis() + " ms")));
+    opened.whenComplete((connection, failure) -> timeoutTask.cancel(false));
     return opened;
   }
 }
--- a/alderyard-backend/src/main/java/org/alderyard/backend/http/HttpExchange.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/http/HttpExchange.java
@@ -20,35 +20,36 @@
 import org.xnio.channels.StreamSinkChannel;
 import org.xnio.channels.StreamSourceChannel;
 
-/** One request on a client connection, and the collection of its whole answer. */
+/** Sends one request on a client connection and collects the complete response. */
 final class HttpExchange {
   private final ClientConnection connection;
-  private final int maxAnswerBytes;
-  private final String number;
+  private final int maxResponseBytes;
+  private final String requestNumber;
   private final ByteBuffer buffer;
-  private final CompletableFuture<JsonNode> answer = new CompletableFuture<>();
+  private final CompletableFuture<JsonNode> response = new CompletableFuture<>();
 
   /**
    * Creates an exchange.
    *
-   * @param buffer where answers are read through; no other exchange uses it at the same time
-   * @param number names the request among those of its connection; its answer must name it too
+   * @param buffer read buffer for the response; not shared with a concurrent exchange
+   * @param requestNumber identifies the request on its connection; the response must repeat it
    */
-  HttpExchange(ClientConnection connection, int maxAnswerBytes, ByteBuffer buffer, long number) {
+  HttpExchange(
+      ClientConnection connection, int maxResponseBytes, ByteBuffer buffer, long requestNumber) {
     this.buffer = buffer;
     this.connection = connection;
-    this.number = Long.toString(number);
-    this.maxAnswerBytes = maxAnswerBytes;
+    this.requestNumber = Long.toString(requestNumber);
+    this.maxResponseBytes = maxResponseBytes;
   }
 
-  /** Sends a request; the answer is a JSON object, or a typed error of any kind. */
+  /** Sends a request; the future holds a JSON object or fails with an AlderyardException. */
   CompletableFuture<JsonNode> send(String path, Optional<JsonNode> body) {
     byte[] content = body.map(BackendJson::bytes).orElse(new byte[0]);
     ClientRequest request =
         new ClientRequest().setPath(path).setMethod(body.isPresent() ? Methods.POST : Methods.GET);
     HeaderMap headers = request.getRequestHeaders();
     headers.put(Headers.HOST, connection.getPeerAddress().toString().replaceFirst("^.*/", ""));
-    headers.put(BackendPaths.REQUEST_NUMBER, number);
+    headers.put(BackendPaths.REQUEST_NUMBER, requestNumber);
     if (body.isPresent()) {
       headers.put(Headers.CONTENT_TYPE, "application/json");
       headers.put(Headers.CONTENT_LENGTH, content.length);
@@ -64,37 +65,37 @@
                           exchange.setResponseListener(new Callback(this::onResponse));
                           write(exchange.getRequestChannel(), ByteBuffer.wrap(content));
                         })));
-    return answer;
+    return response;
   }
 
   private void write(StreamSinkChannel channel, ByteBuffer content) {
     try {
       while (content.hasRemaining()) {
         if (channel.write(content) == 0) {
-          channel.getWriteSetter().set(ready -> write(ready, content));
+          channel.getWriteSetter().set(readyChannel -> write(readyChannel, content));
           channel.resumeWrites();
           return;
         }
       }
       channel.getWriteSetter().set(null);
       channel.suspendWrites();
-      finish(channel);
-    } catch (IOException broken) {
-      fail(broken);
+      endRequest(channel);
+    } catch (IOException exception) {
+      fail(exception);
     }
   }
 
-  private void finish(StreamSinkChannel channel) throws IOException {
+  private void endRequest(StreamSinkChannel channel) throws IOException {
     channel.shutdownWrites();
     if (!channel.flush()) {
       ChannelListener<StreamSinkChannel> flush =
-          ready -> {
+          readyChannel -> {
             try {
-              if (ready.flush()) {
-                ready.suspendWrites();
+              if (readyChannel.flush()) {
+                readyChannel.suspendWrites();
               }
-            } catch (IOException broken) {
-              fail(broken);
+            } catch (IOException exception) {
+              fail(exception);
             }
           };
       channel.getWriteSetter().set(flush);
@@ -103,31 +104,34 @@
   }
 
   private void onResponse(ClientExchange exchange) {
-    if (!number.equals(
+    if (!requestNumber.equals(
         exchange.getResponse().getResponseHeaders().getFirst(BackendPaths.REQUEST_NUMBER))) {
-      refuseForeign();
+      failMismatchedResponse();
       return;
     }
     int status = exchange.getResponse().getResponseCode();
-    ByteArrayOutputStream collected = new ByteArrayOutputStream();
+    ByteArrayOutputStream body = new ByteArrayOutputStream();
     StreamSourceChannel channel = exchange.getResponseChannel();
-    ChannelListener<StreamSourceChannel> reader = ready -> read(ready, status, collected);
+    ChannelListener<StreamSourceChannel> reader = readyChannel -> read(readyChannel, status, body);
     channel.getReadSetter().set(reader);
     channel.resumeReads();
     reader.handleEvent(channel);
   }
 
   /**
-   * Guards against an answer that was sent twice or out of order: on a kept connection the next
-   * request would take it for its own. The failure is of unknown outcome, so the connection closes.
+   * Fails the exchange on a response to another request. If a server sends a response twice or out
+   * of order on a persistent connection, the next request would otherwise receive it. The failure
+   * has an unknown outcome, so the connection is closed.
    */
-  private void refuseForeign() {
-    answer.completeExceptionally(
+  private void failMismatchedResponse() {
+    response.completeExceptionally(
         AlderyardException.unknown(
-            ErrorCode.BACKEND_PROTOCOL, "the answer is not that of request " + number, null));
+            ErrorCode.BACKEND_PROTOCOL,
+            "the response does not carry request number " + requestNumber,
+            null));
   }
 
-  private void read(StreamSourceChannel channel, int status, ByteArrayOutputStream collected) {
+  private void read(StreamSourceChannel channel, int status, ByteArrayOutputStream body) {
     try {
       while (true) {
         buffer.clear();
@@ -137,16 +141,16 @@
         }
         if (count < 0) {
           channel.suspendReads();
-          complete(status, collected.toByteArray());
+          complete(status, body.toByteArray());
           return;
         }
-        collected.write(buffer.array(), 0, count);
-        if (collected.size() > maxAnswerBytes) {
-          throw new IOException("an answer of more than " + maxAnswerBytes + " bytes");
+        body.write(buffer.array(), 0, count);
+        if (body.size() > maxResponseBytes) {
+          throw new IOException("the response exceeds " + maxResponseBytes + " bytes");
         }
       }
-    } catch (IOException broken) {
-      fail(broken);
+    } catch (IOException exception) {
+      fail(exception);
     }
   }
 
@@ -154,39 +158,39 @@
     try {
       JsonNode node = BackendJson.parse(body);
       if (status == StatusCodes.OK) {
-        answer.complete(node);
+        response.complete(node);
       } else {
-        answer.completeExceptionally(BackendJson.refusal(node));
+        response.completeExceptionally(BackendJson.refusal(node));
       }
-    } catch (AlderyardException unreadable) {
-      answer.completeExceptionally(unreadable);
+    } catch (AlderyardException malformed) {
+      response.completeExceptionally(malformed);
     }
   }
 
-  private void fail(IOException broken) {
-    answer.completeExceptionally(
+  private void fail(IOException exception) {
+    response.completeExceptionally(
         AlderyardException.unknown(
             ErrorCode.CONNECTION_LOST,
-            "the connection to the backend server broke: " + broken.getMessage(),
-            broken));
+            "the connection to the backend server failed: " + exception.getMessage(),
+            exception));
   }
 
-  /** Hands each step of the exchange on, and any failure to the answer. */
+  /** Passes a completed step to the next one and a failure to the response future. */
   private final class Callback implements ClientCallback<ClientExchange> {
-    private final java.util.function.Consumer<ClientExchange> next;
+    private final java.util.function.Consumer<ClientExchange> onCompleted;
 
-    Callback(java.util.function.Consumer<ClientExchange> next) {
-      this.next = next;
+    Callback(java.util.function.Consumer<ClientExchange> onCompleted) {
+      this.onCompleted = onCompleted;
     }
 
     @Override
     public void completed(ClientExchange exchange) {
-      next.accept(exchange);
+      onCompleted.accept(exchange);
     }
 
     @Override
-    public void failed(IOException broken) {
-      fail(broken);
+    public void failed(IOException exception) {
+      fail(exception);
     }
   }
 }
--- a/alderyard-backend/src/main/java/org/alderyard/backend/http/HttpServerAdmin.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/http/HttpServerAdmin.java
@@ -15,16 +15,16 @@
 import org.alderyard.backend.ServerReport;
 import org.alderyard.common.id.Position;
 
-/** The calls about a server itself, over a few kept connections for each server. */
+/** Server administration over HTTP, with a few idle connections kept open to each server. */
 public final class HttpServerAdmin implements ServerAdmin {
   private static final Duration WAIT_MARGIN = Duration.ofSeconds(1);
-  private static final int MAX_IDLE_PER_SERVER = 2;
+  private static final int MAX_IDLE_CONNECTIONS_PER_SERVER = 2;
 
   private final HttpConnector connector;
-  private final Map<InetSocketAddress, Queue<HttpServerConnection>> idle =
+  private final Map<InetSocketAddress, Queue<HttpServerConnection>> idleByServer =
       new ConcurrentHashMap<>();
 
-  /** Uses the given connector. */
+  /** Creates a client that opens connections with the given connector. */
   public HttpServerAdmin(HttpConnector connector) {
     this.connector = connector;
   }
@@ -77,30 +77,35 @@
       InetSocketAddress server,
       Duration timeout,
       Function<HttpServerConnection, CompletableFuture<JsonNode>> request) {
-    return take(server, timeout)
+    return acquire(server, timeout)
         .thenCompose(
             connection ->
-                request.apply(connection).whenComplete((node, failure) -> keep(server, connection)))
+                request
+                    .apply(connection)
+                    .whenComplete((node, failure) -> release(server, connection)))
         .thenApply(BackendJson::report);
   }
 
-  private CompletableFuture<HttpServerConnection> take(InetSocketAddress server, Duration timeout) {
-    HttpServerConnection kept = queue(server).poll();
-    while (kept != null && !kept.usable()) {
-      kept = queue(server).poll();
+  private CompletableFuture<HttpServerConnection> acquire(
+      InetSocketAddress server, Duration timeout) {
+    HttpServerConnection pooled = idleConnections(server).poll();
+    while (pooled != null && !pooled.usable()) {
+      pooled = idleConnections(server).poll();
     }
-    return kept == null ? connector.open(server, timeout) : CompletableFuture.completedFuture(kept);
+    return pooled == null
+        ? connector.open(server, timeout)
+        : CompletableFuture.completedFuture(pooled);
   }
 
-  private void keep(InetSocketAddress server, HttpServerConnection connection) {
-    if (connection.usable() && queue(server).size() < MAX_IDLE_PER_SERVER) {
-      queue(server).add(connection);
+  private void release(InetSocketAddress server, HttpServerConnection connection) {
+    if (connection.usable() && idleConnections(server).size() < MAX_IDLE_CONNECTIONS_PER_SERVER) {
+      idleConnections(server).add(connection);
     } else {
       connection.close();
     }
   }
 
-  private Queue<HttpServerConnection> queue(InetSocketAddress server) {
-    return idle.computeIfAbsent(server, key -> new ConcurrentLinkedQueue<>());
+  private Queue<HttpServerConnection> idleConnections(InetSocketAddress server) {
+    return idleByServer.computeIfAbsent(server, key -> new ConcurrentLinkedQueue<>());
   }
 }
--- a/alderyard-backend/src/main/java/org/alderyard/backend/http/HttpServerConnection.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/http/HttpServerConnection.java
@@ -22,26 +22,26 @@
 /**
  * A database connection over one HTTP connection.
  *
- * <p>Guards against an answer that reaches the wrong request: an answer that comes after its
- * request was given up on would be read as the answer of the next request. So any doubt closes the
- * connection before its failure is reported, and no other request is sent on it.
+ * <p>A response that arrives after its request timed out would be taken for the response to the
+ * next request. Any failure that leaves the connection's state unknown therefore closes the
+ * connection before the failure is reported, and no further request is sent on it.
  */
 final class HttpServerConnection implements ServerConnection {
   private static final int READ_BUFFER_BYTES = 8 * 1024;
 
   private final ClientConnection connection;
   private final WorkerPool workers;
-  private final int maxAnswerBytes;
-  // Used by one exchange at a time: a connection that an exchange was given up on is closed.
+  private final int maxResponseBytes;
+  // Used by one exchange at a time: the connection is closed when an exchange times out.
   private final ByteBuffer buffer = ByteBuffer.allocate(READ_BUFFER_BYTES);
-  private final AtomicLong requests = new AtomicLong();
-  private final AtomicBoolean busy = new AtomicBoolean();
+  private final AtomicLong lastRequestNumber = new AtomicLong();
+  private final AtomicBoolean requestInFlight = new AtomicBoolean();
   private volatile boolean closed;
 
-  HttpServerConnection(ClientConnection connection, WorkerPool workers, int maxAnswerBytes) {
+  HttpServerConnection(ClientConnection connection, WorkerPool workers, int maxResponseBytes) {
     this.connection = connection;
     this.workers = workers;
-    this.maxAnswerBytes = maxAnswerBytes;
+    this.maxResponseBytes = maxResponseBytes;
   }
 
   @Override
@@ -53,7 +53,7 @@
   @Override
   public CompletableFuture<Void> begin(long term, Duration timeout) {
     return post(BackendPaths.BEGIN, BackendJson.object().put("term", term), timeout)
-        .thenApply(done -> null);
+        .thenApply(ignored -> null);
   }
 
   @Override
@@ -63,7 +63,7 @@
 
   @Override
   public CompletableFuture<Void> rollback(Duration timeout) {
-    return post(BackendPaths.ROLLBACK, BackendJson.object(), timeout).thenApply(done -> null);
+    return post(BackendPaths.ROLLBACK, BackendJson.object(), timeout).thenApply(ignored -> null);
   }
 
   CompletableFuture<JsonNode> get(String path, Duration timeout) {
@@ -76,34 +76,37 @@
 
   private CompletableFuture<JsonNode> send(String path, Optional<JsonNode> body, Duration timeout) {
     if (!usable()) {
-      // Nothing was written: the check comes before the request leaves this process.
+      // The outcome is NOT_RUN, as no bytes of the request have been sent.
       return CompletableFuture.failedFuture(
           AlderyardException.notRun(ErrorCode.CONNECTION_LOST, "the connection is closed"));
     }
-    if (!busy.compareAndSet(false, true)) {
+    if (!requestInFlight.compareAndSet(false, true)) {
       return CompletableFuture.failedFuture(
           new AlderyardException(
-              ErrorCode.INTERNAL, Outcome.NOT_RUN, "a second request on a busy connection"));
+              ErrorCode.INTERNAL,
+              Outcome.NOT_RUN,
+              "the connection already has a request in flight"));
     }
-    CompletableFuture<JsonNode> answer =
-        new HttpExchange(connection, maxAnswerBytes, buffer, requests.incrementAndGet())
+    CompletableFuture<JsonNode> response =
+        new HttpExchange(connection, maxResponseBytes, buffer, lastRequestNumber.incrementAndGet())
             .send(path, body);
     CompletableFuture<JsonNode> result = new CompletableFuture<>();
     workers
-        .withTimeout(answer, timeout, Outcome.OUTCOME_UNKNOWN)
-        .whenComplete((node, failure) -> settle(result, node, failure));
+        .withTimeout(response, timeout, Outcome.OUTCOME_UNKNOWN)
+        .whenComplete((node, failure) -> completeRequest(result, node, failure));
     return result;
   }
 
-  private void settle(CompletableFuture<JsonNode> result, JsonNode node, Throwable failure) {
+  private void completeRequest(
+      CompletableFuture<JsonNode> result, JsonNode node, Throwable failure) {
     if (failure == null) {
-      busy.set(false);
+      requestInFlight.set(false);
       result.complete(node);
       return;
     }
     Throwable cause = Futures.unwrap(failure);
     if (cause instanceof BackendException) {
-      busy.set(false);
+      requestInFlight.set(false);
     } else {
       close();
     }
--- a/alderyard-backend/src/main/java/org/alderyard/backend/http/package-info.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/http/package-info.java
@@ -1,2 +1,2 @@
-/** The HTTP/1.1 protocol of the backend servers, described in docs/BACKEND-PROTOCOL.md. */
+/** Client of the backend servers' HTTP/1.1 protocol, see docs/BACKEND-PROTOCOL.md. */
 package org.alderyard.backend.http;
--- a/alderyard-backend/src/main/java/org/alderyard/backend/package-info.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The port to the backend servers: connections, statements, and the calls that replace a primary.
+ * Client API of the backend servers: connections, statements and the calls of a failover.
  *
- * <p>{@link org.alderyard.backend.http} speaks the servers' HTTP protocol; another protocol can be
- * put behind {@link org.alderyard.backend.ServerConnector}.
+ * <p>{@link org.alderyard.backend.http} implements the servers' HTTP protocol; other protocols can
+ * implement {@link org.alderyard.backend.ServerConnector}.
  */
 package org.alderyard.backend;
--- a/alderyard-backend/src/main/java/org/alderyard/backend/session/Refusal.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/session/Refusal.java
@@ -3,14 +3,14 @@
 import java.util.Objects;
 
 /**
- * A statement that has no success.
+ * Reason why a statement did not succeed.
  *
- * @param code why
- * @param text more on it, for people
+ * @param code the refusal code
+ * @param text human-readable detail
  */
 public record Refusal(RefusalCode code, String text) {
 
-  /** Checks. */
+  /** Rejects null components. */
   public Refusal {
     Objects.requireNonNull(code);
     Objects.requireNonNull(text);
--- a/alderyard-backend/src/main/java/org/alderyard/backend/session/RefusalCode.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/session/RefusalCode.java
@@ -1,34 +1,34 @@
 package org.alderyard.backend.session;
 
-/** Why a statement has no success. */
+/** Reason why a statement did not succeed. */
 public enum RefusalCode {
-  /** The server had no room; nothing ran. */
+  /** The server is at capacity; nothing ran. */
   BUSY(true),
-  /** The transaction ended without keeping anything. */
+  /** The transaction was rolled back. */
   ABORTED(true),
-  /** The server's log does not hold the position yet; nothing ran. */
+  /** The server's log has not reached the required position; nothing ran. */
   BEHIND(true),
-  /** The server does not lead its group; nothing is kept. */
+  /** The server is not the primary of its group; no write is kept. */
   NOT_PRIMARY(true),
   /** Another server listens at the address; nothing ran. */
   WRONG_SERVER(true),
-  /** The server has all its connections; nothing ran. */
+  /** The server's connection limit is reached; nothing ran. */
   CONNECTION_LIMIT(true),
   /** The statement ran and failed. */
   FAILED(false),
   /** No statement is prepared under the name; nothing ran. */
   NOT_PREPARED(false),
-  /** The statement took too long, and may have run. */
+  /** The statement timed out and may have run. */
   TIMED_OUT(false),
-  /** The caller may not do this. */
+  /** The caller is not authorized. */
   UNAUTHORIZED(false),
-  /** There is no database of this name. */
+  /** No database has this name. */
   UNKNOWN_DATABASE(false),
-  /** The message is too large. */
+  /** The message exceeds the size limit. */
   TOO_LARGE(false),
-  /** The message or the statement can't be read, or does not fit the session's state. */
+  /** The message or statement is malformed or not allowed in the session's state. */
   MALFORMED(false),
-  /** What was sent may be kept or not. */
+  /** The outcome is unknown: the writes may or may not be kept. */
   IN_DOUBT(false);
 
   private final boolean nothingKept;
@@ -37,7 +37,7 @@
     this.nothingKept = nothingKept;
   }
 
-  /** Returns whether a caller who gets this code is promised that nothing of it is kept. */
+  /** Returns whether this code guarantees that no write of the statement is kept. */
   public boolean nothingKept() {
     return nothingKept;
   }
--- a/alderyard-backend/src/main/java/org/alderyard/backend/session/ServerStanding.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/session/ServerStanding.java
@@ -4,16 +4,16 @@
 import org.alderyard.common.id.Position;
 
 /**
- * What a server says of its part in its group.
+ * Role and replication state of a server, as the server reports them.
  *
- * @param primary whether it leads, by its own word
- * @param term the newest term that it knows
- * @param received up to where its log holds what the primary wrote
- * @param lagMillis how far its reads are behind
+ * @param primary whether the server considers itself the primary
+ * @param term the highest term known to the server
+ * @param received the position up to which the server's log holds the primary's writes
+ * @param lagMillis replication lag of the server's reads
  */
 public record ServerStanding(boolean primary, long term, Position received, long lagMillis) {
 
-  /** Checks. */
+  /** Rejects null components. */
   public ServerStanding {
     Objects.requireNonNull(received);
   }
--- a/alderyard-backend/src/main/java/org/alderyard/backend/session/SessionConnection.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/session/SessionConnection.java
@@ -5,16 +5,16 @@
 import java.util.concurrent.CompletableFuture;
 import org.alderyard.backend.PooledConnection;
 
-/** One connection to a backend server that keeps a session. */
+/** A connection to a backend server that holds a session. */
 public interface SessionConnection extends PooledConnection {
 
   /**
-   * Sends requests one behind the other without waiting, and returns their replies.
+   * Sends requests in a pipeline, without waiting between them, and returns their replies.
    *
-   * <p>When not all replies have come within the timeout, or the connection breaks, the future
-   * fails, the connection is closed, and what was sent may have run.
+   * <p>If a reply is missing after the timeout, or the connection fails, the future fails and the
+   * connection is closed; the requests may have run.
    *
-   * @return the replies in order; a refusal is a reply
+   * @return the replies in the order of the requests; a refusal is a reply
    */
   CompletableFuture<List<SessionReply>> run(List<SessionRequest> requests, Duration timeout);
 }
--- a/alderyard-backend/src/main/java/org/alderyard/backend/session/SessionConnector.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/session/SessionConnector.java
@@ -8,6 +8,9 @@
 @FunctionalInterface
 public interface SessionConnector {
 
-  /** Connects; a server that is not the one asked for is refused, and the failure is NOT_RUN. */
+  /**
+   * Connects to a server. The future fails with outcome {@code NOT_RUN} on any error, also if
+   * another server listens at the address.
+   */
   CompletableFuture<SessionConnection> connect(ServerState server, Duration timeout);
 }
--- a/alderyard-backend/src/main/java/org/alderyard/backend/session/SessionReply.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/session/SessionReply.java
@@ -6,13 +6,13 @@
 import org.alderyard.common.id.Position;
 
 /**
- * The answer to one statement.
+ * Reply to one statement.
  *
- * @param rows the rows
- * @param proof what shows that a server ran it, as the server wrote it; empty if it ran on none
- * @param refusal why it has no success
- * @param state the session's state after it
- * @param position up to where the server's reads show its log
+ * @param rows the result rows; may be empty
+ * @param proof the server's proof that it ran the statement, unchanged; empty if no server ran it
+ * @param refusal why the statement did not succeed; empty on success
+ * @param state the session's transaction state after the statement
+ * @param position the log position up to which the server's reads are current
  */
 public record SessionReply(
     List<String> rows,
@@ -21,7 +21,7 @@
     TransactionState state,
     Optional<Position> position) {
 
-  /** Copies. */
+  /** Rejects null components and copies the list. */
   public SessionReply {
     rows = List.copyOf(rows);
     Objects.requireNonNull(proof);
@@ -30,12 +30,12 @@
     Objects.requireNonNull(position);
   }
 
-  /** Returns a success that the system gives without a server. */
+  /** Returns a successful reply that no backend server was involved in. */
   public static SessionReply done(TransactionState state) {
     return new SessionReply(List.of(), Optional.empty(), Optional.empty(), state, Optional.empty());
   }
 
-  /** Returns a refusal. */
+  /** Returns a reply that refuses the statement. */
   public static SessionReply refused(RefusalCode code, String text, TransactionState state) {
     return new SessionReply(
         List.of(), Optional.empty(), Optional.of(new Refusal(code, text)), state, Optional.empty());
@@ -46,12 +46,12 @@
     return refusal.isEmpty();
   }
 
-  /** Returns whether it was refused with this code. */
+  /** Returns whether the statement was refused with this code. */
   public boolean refusedWith(RefusalCode code) {
     return refusal.isPresent() && refusal.get().code() == code;
   }
 
-  /** Returns the same answer with another state, as a caller's session is in another one. */
+  /** Returns this reply with the state of the caller's session, which may differ. */
   public SessionReply inState(TransactionState other) {
     return new SessionReply(rows, proof, refusal, other, position);
   }
--- a/alderyard-backend/src/main/java/org/alderyard/backend/session/SessionRequest.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/session/SessionRequest.java
@@ -5,33 +5,33 @@
 import org.alderyard.common.id.Position;
 
 /**
- * One statement on its way.
+ * A statement with its request id and required log position.
  *
- * @param id the caller's name for it; empty for statements of the system itself
- * @param after the position that the server's log must hold before it runs a read or a begin
+ * @param id the caller's id of the statement; empty for internal statements
+ * @param after the log position that the server must have reached before it runs a read or a begin
  * @param statement the statement
  */
 public record SessionRequest(
     Optional<String> id, Optional<Position> after, SessionStatement statement) {
 
-  /** Checks. */
+  /** Rejects null components. */
   public SessionRequest {
     Objects.requireNonNull(id);
     Objects.requireNonNull(after);
     Objects.requireNonNull(statement);
   }
 
-  /** Returns a statement of the system itself. */
+  /** Returns an internal request, which has no caller id. */
   public static SessionRequest own(SessionStatement statement) {
     return new SessionRequest(Optional.empty(), Optional.empty(), statement);
   }
 
-  /** Returns a caller's statement. */
+  /** Returns a request of a caller. */
   public static SessionRequest of(String id, SessionStatement statement) {
     return new SessionRequest(Optional.of(id), Optional.empty(), statement);
   }
 
-  /** Returns this request with a position that the server must hold. */
+  /** Returns this request with a log position that the server must have reached. */
   public SessionRequest after(Position position) {
     return new SessionRequest(id, Optional.of(position), statement);
   }
--- a/alderyard-backend/src/main/java/org/alderyard/backend/session/SessionStatement.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/session/SessionStatement.java
@@ -4,22 +4,22 @@
 import java.util.Optional;
 import org.alderyard.backend.StatementKind;
 
-/** What can be asked in a session, of a proxy or of a backend server. */
+/** A statement of a session, sent to a proxy or a backend server. */
 public sealed interface SessionStatement {
 
-  /** Opens a transaction; a read-only one may run on a replica. */
+  /** Opens a transaction; a read-only transaction may run on a replica. */
   record Begin(boolean readOnly) implements SessionStatement {}
 
-  /** Ends the transaction and keeps what it wrote. */
+  /** Commits the transaction. */
   record Commit() implements SessionStatement {}
 
-  /** Ends the transaction and keeps nothing. */
+  /** Rolls back the transaction. */
   record Rollback() implements SessionStatement {}
 
   /** Reads an item. */
   record Read(String item) implements SessionStatement {
 
-    /** Checks. */
+    /** Rejects null components. */
     public Read {
       Objects.requireNonNull(item);
     }
@@ -28,27 +28,27 @@
   /** Writes an item. */
   record Write(String item, String data) implements SessionStatement {
 
-    /** Checks. */
+    /** Rejects null components. */
     public Write {
       Objects.requireNonNull(item);
       Objects.requireNonNull(data);
     }
   }
 
-  /** Sets a value of the session. */
+  /** Sets a session value. */
   record SetValue(String name, String value) implements SessionStatement {
 
-    /** Checks. */
+    /** Rejects null components. */
     public SetValue {
       Objects.requireNonNull(name);
       Objects.requireNonNull(value);
     }
   }
 
-  /** Names a statement of a shape, to be executed by its name. */
+  /** Prepares a statement with the given text under a name. */
   record Prepare(String name, StatementKind kind, String shape) implements SessionStatement {
 
-    /** Checks. */
+    /** Rejects null components. */
     public Prepare {
       Objects.requireNonNull(name);
       Objects.requireNonNull(kind);
@@ -56,10 +56,10 @@
     }
   }
 
-  /** Runs a prepared statement; one that writes has data. */
+  /** Runs a prepared statement; data is present for a write. */
   record Execute(String name, String item, Optional<String> data) implements SessionStatement {
 
-    /** Checks. */
+    /** Rejects null components. */
     public Execute {
       Objects.requireNonNull(name);
       Objects.requireNonNull(item);
@@ -67,21 +67,21 @@
     }
   }
 
-  /** Forgets a prepared statement. */
+  /** Removes a prepared statement. */
   record Deallocate(String name) implements SessionStatement {
 
-    /** Checks. */
+    /** Rejects null components. */
     public Deallocate {
       Objects.requireNonNull(name);
     }
   }
 
-  /** Clears the values and prepared statements of a connection; only servers take it. */
+  /** Clears the session values and prepared statements; accepted by backend servers only. */
   record Reset() implements SessionStatement {}
 
-  /** Asks a server what it is and holds; only servers take it. */
+  /** Queries a server's role and log position; accepted by backend servers only. */
   record Report() implements SessionStatement {}
 
-  /** A text that is no statement. */
+  /** A text that is not a valid statement. */
   record Unreadable(String reason) implements SessionStatement {}
 }
--- a/alderyard-backend/src/main/java/org/alderyard/backend/session/StandingProbe.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/session/StandingProbe.java
@@ -4,10 +4,10 @@
 import java.util.concurrent.CompletableFuture;
 import org.alderyard.common.view.ServerState;
 
-/** Asks a server for its part in its group; costs it as much as a statement. */
+/** Queries a server's role and replication state, at the cost of one statement. */
 @FunctionalInterface
 public interface StandingProbe {
 
-  /** Asks on a connection of its own, so that busy pools do not delay a failover. */
+  /** Queries on a dedicated connection, so that busy pools do not delay a failover. */
   CompletableFuture<ServerStanding> ask(ServerState server, Duration timeout);
 }
--- a/alderyard-backend/src/main/java/org/alderyard/backend/session/TransactionState.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/session/TransactionState.java
@@ -1,11 +1,11 @@
 package org.alderyard.backend.session;
 
-/** Whether a session has a transaction. */
+/** Transaction state of a session. */
 public enum TransactionState {
-  /** It has none. */
+  /** No transaction is open. */
   NONE,
-  /** One is open. */
+  /** A transaction is open. */
   OPEN,
-  /** One is open and failed: it can only be ended, which keeps nothing. */
+  /** A transaction is open but has failed; ending it discards its writes. */
   FAILED
 }
--- a/alderyard-backend/src/main/java/org/alderyard/backend/session/package-info.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/session/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Sessions on backend servers: connections that keep values, prepared statements and a transaction.
+ * Sessions on backend servers: connections with session values, prepared statements and a
+ * transaction.
  *
- * <p>The types say what is asked and answered; how it is written on a connection is the concern of
- * an implementation of {@link org.alderyard.backend.session.SessionConnector}.
+ * <p>The types model requests and replies; implementations of {@link
+ * org.alderyard.backend.session.SessionConnector} define the wire format.
  */
 package org.alderyard.backend.session;
