--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/BoundedAppender.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/BoundedAppender.java
@@ -7,45 +7,45 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Hands lines to another appender by a bounded queue and a thread of its own, and counts what it
- * drops.
+ * Asynchronous appender with a bounded queue that drops lines when it is full and counts the
+ * dropped lines.
  *
- * <p>Guards against a reader of the output that is stuck: a thread that logs would wait for it, and
- * callers with it. When a fifth of the queue is left, routine lines are dropped; warnings are
- * dropped only when nothing is left.
+ * <p>Without it, a stuck reader of the output would block every thread that logs, and thus callers.
+ * When less than a fifth of the queue is free, lines of level INFO and below are dropped; warnings
+ * and errors are dropped only when the queue is full.
  */
 final class BoundedAppender extends AsyncAppender {
   /**
-   * Lines that wait for the thread that writes, which may have as many again in its hands; about 1
-   * MB in all when nobody reads.
+   * Capacity of the queue. The writer thread may hold as many lines again; both together take about
+   * 1 MB when the output is not read.
    */
-  static final int MAX_WAITING = 2_048;
+  static final int QUEUE_CAPACITY = 2_048;
 
-  /** How long the end of a process waits for lines that are not written yet. */
-  private static final int FLUSH_MILLIS = 300;
+  /** Maximum time for which shutdown waits for lines that are not written yet. */
+  private static final int MAX_FLUSH_MILLIS = 300;
 
   private final AtomicLong dropped = new AtomicLong();
 
   BoundedAppender(LoggerContext context, Appender<ILoggingEvent> appender) {
     setContext(context);
-    setQueueSize(MAX_WAITING);
+    setQueueSize(QUEUE_CAPACITY);
     setNeverBlock(true);
-    setMaxFlushTime(FLUSH_MILLIS);
+    setMaxFlushTime(MAX_FLUSH_MILLIS);
     addAppender(appender);
     start();
   }
 
   @Override
   protected void append(ILoggingEvent event) {
-    int left = getRemainingCapacity();
-    if (left == 0 || left < getDiscardingThreshold() && isDiscardable(event)) {
+    int remaining = getRemainingCapacity();
+    if (remaining == 0 || remaining < getDiscardingThreshold() && isDiscardable(event)) {
       dropped.incrementAndGet();
       return;
     }
     super.append(event);
   }
 
-  /** Returns how many lines were dropped since the start. */
+  /** Returns the number of lines dropped since the start. */
   long dropped() {
     return dropped.get();
   }
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/ControlStack.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/ControlStack.java
@@ -28,7 +28,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The parts of a control host: its copy of the log, and the services over it. */
+/** Components of a control host: its replica of the control log and the services on top of it. */
 final class ControlStack {
   private static final Logger log = LoggerFactory.getLogger(ControlStack.class);
 
@@ -38,12 +38,15 @@
     this.host = host;
   }
 
-  /** Starts the services; returns the log, to be closed after the inner port. */
+  /**
+   * Starts the services and returns the control log. The caller must register the log after the
+   * inner port, so that it is closed before the port.
+   */
   ControlLog start() {
     ViewFeed feed = new ViewFeed(host.controlWorkers);
     FailoverTable failovers = new FailoverTable();
     ControlState state = new ControlState(feed::publish, failovers);
-    ControlLog controlLog = host.part(controlLog(state));
+    ControlLog controlLog = host.register(controlLog(state));
     ControlService service =
         new ControlService(controlLog, state, feed, host.clock, host.wallClock);
     service.serve(host.dispatcher);
@@ -57,7 +60,10 @@
     return controlLog;
   }
 
-  /** Servers of sessions refuse connections beyond their limit themselves. */
+  /**
+   * Starts the grant service. Grants are advisory where callers open sessions, because those
+   * backend servers themselves refuse connections above their limit.
+   */
   private void startGrants(ControlLog controlLog, ControlState state) {
     GrantOptions options =
         host.settings.sessions().isPresent() ? GrantOptions.ADVISORY : GrantOptions.DEFAULT;
@@ -70,7 +76,10 @@
         .register(host.registry);
   }
 
-  /** Without a data folder the state of a single control host lasts as long as its process. */
+  /**
+   * Creates the control log. Without a data folder, the state of a single control host is lost when
+   * its process ends.
+   */
   private ControlLog controlLog(ControlState state) {
     DaemonSettings settings = host.settings;
     if (settings.dataFolder().isEmpty()) {
@@ -96,18 +105,18 @@
                   }
                 });
     settings
-        .open()
+        .discovery()
         .ifPresent(
-            open ->
+            options ->
                 builder.open(
                     new OpenMembership(
-                        open.voters(), open.mayFound(), host.controlHosts::addresses)));
+                        options.voters(), options.mayFound(), host.controlHosts::addresses)));
     return builder.start();
   }
 
   private void startFailover(ControlLog controlLog, ControlState state, FailoverTable failovers) {
     FailoverService service =
-        host.part(
+        host.register(
             new FailoverService(
                 controlLog,
                 failovers,
@@ -128,8 +137,8 @@
         .flatMap(SessionOptions::appointerAddress)
         .ifPresent(
             address -> {
-              // Its calls wait for their answers; no other work must wait behind them.
-              WorkerPool appointer = host.part(new WorkerPool("appointer", 1));
+              // Dedicated thread: calls to the appointer block and must not delay other work.
+              WorkerPool appointer = host.register(new WorkerPool("appointer", 1));
               PromotionService service =
                   new PromotionService(
                       controlLog,
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/Daemon.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/Daemon.java
@@ -11,15 +11,20 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One process of the system, with the roles that its settings name. */
+/** One daemon process; runs the roles that its settings name. */
 public final class Daemon implements AutoCloseable {
   private static final Logger log = LoggerFactory.getLogger(Daemon.class);
 
   private final HostContext host;
-  private final CompletableFuture<Void> operable = new CompletableFuture<>();
+  private final CompletableFuture<Void> whenOperatorPortsOpen = new CompletableFuture<>();
   private Optional<Drainable> drainable = Optional.empty();
 
-  /** Starts all parts; a part that can't start closes those before it. */
+  /**
+   * Starts all components. If a component fails to start, the components already started are
+   * closed.
+   *
+   * @throws RuntimeException if a component fails to start
+   */
   public Daemon(DaemonSettings settings) {
     log.info("event=starting host={} roles={}", settings.host(), settings.roles());
     host = new HostContext(settings);
@@ -41,30 +46,33 @@
         settings.sessions().map(options -> new SessionStack(host, options));
     drainable = sessions.map(stack -> stack);
     if (settings.roles().contains(Role.CONTROL)) {
-      // All hosts wait for the control hosts' first leader.
-      startInner(settings);
-      sessions.ifPresent(SessionStack::startCallers);
+      // First, because every host needs the leader that the control hosts elect.
+      startInterHostServices(settings);
+      sessions.ifPresent(SessionStack::startCallerPort);
     } else {
-      sessions.ifPresent(SessionStack::startCallers);
-      startInner(settings);
+      sessions.ifPresent(SessionStack::startCallerPort);
+      startInterHostServices(settings);
     }
     if (sessions.isPresent()) {
-      // After the parts that listen to views: they must see the first one.
+      // Starts after all view listeners are registered, so that they receive the first view.
       host.viewClient.start();
-      sessions.get().startHttpLater();
-      sessions.get().operable().thenRun(() -> operable.complete(null));
+      sessions.get().scheduleHttpStart();
+      sessions.get().whenOperatorPortsOpen().thenRun(() -> whenOperatorPortsOpen.complete(null));
       return;
     }
     HttpStack http = new HttpStack(host);
     drainable = Optional.of(http);
-    http.startProxyIfAsked();
+    http.startProxyIfConfigured();
     host.viewClient.start();
-    http.startOperators();
-    operable.complete(null);
+    http.openOperatorPort();
+    whenOperatorPortsOpen.complete(null);
   }
 
-  /** Starts what the hosts have among themselves: the control log and the inner port. */
-  private void startInner(DaemonSettings settings) {
+  /**
+   * Starts the services between hosts: the control log on control hosts, discovery and the inner
+   * port.
+   */
+  private void startInterHostServices(DaemonSettings settings) {
     Optional<ControlLog> controlLog =
         settings.roles().contains(Role.CONTROL)
             ? Optional.of(new ControlStack(host).start())
@@ -77,41 +85,44 @@
             host.viewClient::leaseValid,
             () -> controlLog.map(ControlLog::memberAddresses).orElse(List.of()));
     discovery.serve(host.dispatcher);
-    host.part(
+    host.register(
         new InnerServer(
             host.loops,
             settings.innerListenAddress().orElse(settings.innerAddress()),
-            host.patientProtocol,
+            host.longTimeoutProtocol,
             host.dispatcher,
             host.controlWorkers));
-    // Closed before the port: a leader hands over while the others still reach it.
-    controlLog.ifPresent(host::part);
-    host.part(host.viewClient);
+    // Closed before the inner port: a leader hands over while other hosts can still reach it.
+    controlLog.ifPresent(host::register);
+    host.register(host.viewClient);
     settings
-        .open()
+        .discovery()
         .ifPresent(
-            open -> {
+            options -> {
               host.views.onChange(view -> discovery.learn(view.hosts().values()));
               discovery.start();
             });
   }
 
-  /** Takes changes of the settings file that need no restart: the log's level and the seeds. */
-  void watch(Path file) {
-    new SettingsWatch(file, host.workers, this::reload).start();
+  /** Applies changes of the settings file that need no restart: the log options and the seeds. */
+  void watchSettings(Path file) {
+    new SettingsWatch(file, host.workers, this::applyReloadable).start();
   }
 
-  private void reload(DaemonSettings changed) {
+  private void applyReloadable(DaemonSettings changed) {
     changed.log().apply();
-    changed.open().ifPresent(open -> host.controlHosts.add(open.seeds()));
+    changed.discovery().ifPresent(options -> host.controlHosts.add(options.seeds()));
   }
 
-  /** Returns a future that is done when the ports of operators are open. */
-  public CompletableFuture<Void> operable() {
-    return operable;
+  /** Returns a future that completes when the operator ports are open. */
+  public CompletableFuture<Void> whenOperatorPortsOpen() {
+    return whenOperatorPortsOpen;
   }
 
-  /** Returns a future that is completed when a part failed so that the process must end. */
+  /**
+   * Returns a future that completes with the error if a component fails fatally; the process must
+   * then exit.
+   */
   public CompletableFuture<AlderyardException> failure() {
     return host.failure;
   }
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/DaemonMain.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/DaemonMain.java
@@ -13,7 +13,7 @@
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
 
-/** The command line of {@code alderyardd}. */
+/** Entry point of {@code alderyardd}. */
 public final class DaemonMain {
   private static final String USAGE = "usage: alderyardd --settings FILE [--check]";
   private static final Options OPTIONS =
@@ -23,7 +23,9 @@
 
   private DaemonMain() {}
 
-  /** Runs the daemon until the process is asked to end. */
+  /**
+   * Runs the daemon until the process is asked to stop; exits with an {@link ExitCode} on failure.
+   */
   public static void main(String[] args) throws InterruptedException {
     LogProvider.install();
     NoManagementBeans.install();
@@ -38,8 +40,8 @@
     CommandLine line;
     try {
       line = new DefaultParser().parse(OPTIONS, args);
-    } catch (ParseException wrong) {
-      err.println(wrong.getMessage());
+    } catch (ParseException parseError) {
+      err.println(parseError.getMessage());
       err.println(USAGE);
       return ExitCode.USAGE;
     }
@@ -49,7 +51,7 @@
         out.println("settings are valid: " + line.getOptionValue("settings"));
         return ExitCode.OK;
       }
-      runUntilAsked(settings, Path.of(line.getOptionValue("settings")));
+      runUntilShutdown(settings, Path.of(line.getOptionValue("settings")));
       return ExitCode.OK;
     } catch (AlderyardException failure) {
       err.println(failure.code() + ": " + failure.getMessage());
@@ -57,12 +59,12 @@
     }
   }
 
-  /** Ends when the process is asked to, or throws what made the daemon give up. */
-  private static void runUntilAsked(DaemonSettings settings, Path file)
+  /** Runs the daemon until shutdown, or throws the error that made it fail. */
+  private static void runUntilShutdown(DaemonSettings settings, Path file)
       throws InterruptedException {
     settings.log().apply();
     Daemon daemon = new Daemon(settings);
-    daemon.watch(file);
+    daemon.watchSettings(file);
     CompletableFuture<Void> ended = new CompletableFuture<>();
     daemon.failure().thenAccept(ended::completeExceptionally);
     Runtime.getRuntime()
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/DaemonSettings.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/DaemonSettings.java
@@ -21,35 +21,38 @@
 import org.alderyard.proxy.read.ReadOptions;
 
 /**
- * The settings of one process, checked as far as that is possible without starting it.
+ * Validated settings of one daemon process.
  *
- * @param host name of this host
- * @param zone its availability zone
+ * @param host id of this host
+ * @param zone availability zone of this host
  * @param clusterId name of the cluster
- * @param roles what this process does
- * @param callerAddress where callers connect
- * @param innerAddress where other hosts connect
- * @param innerListenAddress where the port for them is bound, if that is another address
- * @param announcementAddress where backend servers announce themselves, beside the callers' port
- * @param operatorAddress where operators connect, if they may here
- * @param controlHosts inner addresses of the control hosts
- * @param open how the others are found where the control hosts are not listed
- * @param dataFolder where a control host keeps its state
- * @param clusterKey the secret of the hosts
- * @param operatorKey the secret of the operators
- * @param monitorInterval pace of the questions to backend servers
- * @param monitorIdleInterval the same for groups without work here
- * @param readOptions how reads are routed and limited
- * @param maxTokenAge the oldest session token that is accepted
- * @param drainTimeout longest wait for requests in flight at a shutdown
- * @param drainLinger how long the callers' port stays open after that
- * @param workerThreads threads of the worker pool
- * @param ioThreads threads of the HTTP ports
- * @param innerThreads threads of the connections to hosts, and of sessions
- * @param sessions how callers' sessions are served, where they do not send HTTP
- * @param httpLimits what HTTP clients may send
- * @param tls the keys of the HTTP ports that speak TLS
- * @param log how lines are logged
+ * @param roles roles that this process runs
+ * @param callerAddress address that callers connect to
+ * @param innerAddress address that other hosts connect to
+ * @param innerListenAddress bind address of the port for other hosts, if it differs from {@code
+ *     innerAddress}
+ * @param announcementAddress additional address on which backend servers announce themselves; the
+ *     caller port accepts announcements as well
+ * @param operatorAddress address that operators connect to; empty if this host has no operator port
+ * @param controlHosts inner addresses of the control hosts; empty if {@code discovery} is present
+ * @param discovery how other hosts are discovered when the control hosts are not listed
+ * @param dataFolder folder in which a control host stores its state
+ * @param clusterKey secret shared by all hosts
+ * @param operatorKey secret that operators send
+ * @param monitorInterval interval between state requests to a backend server
+ * @param monitorIdleInterval interval between state requests to servers of groups without work on
+ *     this host
+ * @param readOptions routing and limits of reads
+ * @param maxTokenAge maximum age of an accepted session token
+ * @param drainTimeout maximum wait for in-flight requests during shutdown
+ * @param drainLinger how long the caller port stays open after the last in-flight request
+ * @param workerThreads number of threads in the worker pool
+ * @param ioThreads number of I/O threads of the HTTP ports
+ * @param innerThreads number of threads for connections to other hosts and for sessions
+ * @param sessions settings for callers that open sessions; empty if callers send HTTP
+ * @param httpLimits limits on requests of HTTP clients
+ * @param tls TLS settings of the HTTP ports
+ * @param log format and level of the log
  */
 public record DaemonSettings(
     HostId host,
@@ -62,7 +65,7 @@
     Optional<InetSocketAddress> announcementAddress,
     Optional<InetSocketAddress> operatorAddress,
     List<InetSocketAddress> controlHosts,
-    Optional<OpenClusterOptions> open,
+    Optional<OpenClusterOptions> discovery,
     Optional<Path> dataFolder,
     ClusterKey clusterKey,
     Optional<Secret> operatorKey,
@@ -81,13 +84,14 @@
     LogOptions log) {
 
   /**
-   * Reads and checks a file.
+   * Reads and validates a settings file.
    *
-   * @throws SettingsException when anything in it can't be used
+   * @throws SettingsException if the file or a file that it names cannot be read, or a setting is
+   *     invalid
    */
   public static DaemonSettings read(Path file) {
     Settings settings = new SettingsReader(DaemonSpec.SPEC).read(file);
-    DaemonSettings result =
+    DaemonSettings daemonSettings =
         new DaemonSettings(
             settings.get(DaemonSpec.HOST_ID),
             settings.get(DaemonSpec.ZONE),
@@ -99,7 +103,7 @@
             settings.find(DaemonSpec.ANNOUNCEMENT_ADDRESS),
             settings.find(DaemonSpec.OPERATOR_ADDRESS),
             settings.find(DaemonSpec.CONTROL_HOSTS).orElse(List.of()),
-            open(settings),
+            discovery(settings),
             settings.findPath(DaemonSpec.DATA_FOLDER),
             clusterKey(settings),
             operatorKey(settings),
@@ -121,58 +125,63 @@
                 settings.get(DaemonSpec.MAX_BODY_BYTES),
                 settings.get(DaemonSpec.REQUEST_TIMEOUT),
                 settings.get(DaemonSpec.IDLE_TIMEOUT)),
-            TlsOptions.of(settings),
+            TlsOptions.load(settings),
             new LogOptions(
                 settings.get(DaemonSpec.LOG_FORMAT), settings.get(DaemonSpec.LOG_LEVEL)));
-    result.checkTogether(settings);
-    return result;
+    daemonSettings.validateCombinations(settings);
+    return daemonSettings;
   }
 
-  private void checkTogether(Settings settings) {
+  private void validateCombinations(Settings settings) {
     if (operatorAddress.isPresent() && operatorKey.isEmpty() && sessions.isEmpty()) {
-      throw wrong(
+      throw invalid(
           settings,
           DaemonSpec.OPERATOR_KEY_FILE,
           "the key is missing; [network] operator-address needs it");
     }
-    if (open.isPresent() != controlHosts.isEmpty()) {
-      throw wrong(
+    if (discovery.isPresent() != controlHosts.isEmpty()) {
+      throw invalid(
           settings,
           DaemonSpec.CONTROL_HOSTS,
           "the key is missing; accepted: either [control] hosts or [control] seeds");
     }
-    boolean listed = open.isEmpty();
-    if (listed && roles.contains(Role.CONTROL) && !controlHosts.contains(innerAddress)) {
-      throw wrong(
+    boolean controlHostsListed = discovery.isEmpty();
+    if (controlHostsListed
+        && roles.contains(Role.CONTROL)
+        && !controlHosts.contains(innerAddress)) {
+      throw invalid(
           settings,
           DaemonSpec.CONTROL_HOSTS,
           "[network] inner-address " + innerAddress + " of this control host is not in the list");
     }
-    boolean several = open.isPresent() || controlHosts.size() > 1;
-    if (roles.contains(Role.CONTROL) && dataFolder.isEmpty() && several) {
-      throw wrong(
+    boolean severalControlHosts = discovery.isPresent() || controlHosts.size() > 1;
+    if (roles.contains(Role.CONTROL) && dataFolder.isEmpty() && severalControlHosts) {
+      throw invalid(
           settings,
           DaemonSpec.DATA_FOLDER,
-          "it is missing; each of several control hosts needs one for its copy of the log");
+          "the key is missing; each of several control hosts needs it for its copy of the log");
     }
     if (roles.contains(Role.CONTROL) && dataFolder.isPresent()) {
-      checkFolder(settings, dataFolder.get());
+      validateDataFolder(settings, dataFolder.get());
     }
   }
 
-  private static void checkFolder(Settings settings, Path folder) {
-    boolean usable =
+  private static void validateDataFolder(Settings settings, Path folder) {
+    boolean accessible =
         Files.isDirectory(folder) && Files.isReadable(folder) && Files.isWritable(folder);
-    if (!usable) {
-      throw wrong(
+    if (!accessible) {
+      throw invalid(
           settings,
           DaemonSpec.DATA_FOLDER,
           "'" + folder + "' is not a folder that can be read and written");
     }
   }
 
-  /** Seeds are given by any port of theirs: the inner port is the same on all hosts. */
-  private static Optional<OpenClusterOptions> open(Settings settings) {
+  /**
+   * Returns the discovery settings. The port of a seed is replaced by this host's inner port, which
+   * is the same on all hosts.
+   */
+  private static Optional<OpenClusterOptions> discovery(Settings settings) {
     int innerPort = settings.get(DaemonSpec.INNER_ADDRESS).getPort();
     return settings
         .find(DaemonSpec.SEEDS)
@@ -200,9 +209,9 @@
   }
 
   private static ClusterKey clusterKey(Settings settings) {
-    byte[] secret = clusterSecret(settings).getBytes(StandardCharsets.UTF_8);
+    byte[] secret = readClusterSecret(settings).getBytes(StandardCharsets.UTF_8);
     if (secret.length < ClusterKey.MIN_BYTES) {
-      throw wrong(
+      throw invalid(
           settings,
           DaemonSpec.CLUSTER_KEY_FILE,
           "the secret has " + secret.length + " bytes; accepted: at least " + ClusterKey.MIN_BYTES);
@@ -210,21 +219,21 @@
     return new ClusterKey(secret);
   }
 
-  private static String clusterSecret(Settings settings) {
+  private static String readClusterSecret(Settings settings) {
     Optional<String> variable = settings.find(DaemonSpec.CLUSTER_KEY_VARIABLE);
     if (variable.isEmpty() && settings.find(DaemonSpec.CLUSTER_KEY_FILE).isEmpty()) {
-      throw wrong(
+      throw invalid(
           settings,
           DaemonSpec.CLUSTER_KEY_FILE,
           "the key is missing; accepted: a path, or [keys] cluster-key-variable");
     }
     if (variable.isEmpty()) {
-      return secret(settings, DaemonSpec.CLUSTER_KEY_FILE);
+      return readSecret(settings, DaemonSpec.CLUSTER_KEY_FILE);
     }
     return Optional.ofNullable(System.getenv(variable.get()))
         .orElseThrow(
             () ->
-                wrong(
+                invalid(
                     settings,
                     DaemonSpec.CLUSTER_KEY_VARIABLE,
                     "the environment variable " + variable.get() + " is not set"));
@@ -233,23 +242,23 @@
   private static Optional<Secret> operatorKey(Settings settings) {
     return settings
         .find(DaemonSpec.OPERATOR_KEY_FILE)
-        .map(file -> new Secret(secret(settings, DaemonSpec.OPERATOR_KEY_FILE)));
+        .map(file -> new Secret(readSecret(settings, DaemonSpec.OPERATOR_KEY_FILE)));
   }
 
-  static String secret(Settings settings, Setting<Path> setting) {
+  static String readSecret(Settings settings, Setting<Path> setting) {
     Path file = settings.findPath(setting).orElseThrow();
     try {
       String secret = Files.readString(file).trim();
       if (secret.isEmpty()) {
-        throw wrong(settings, setting, "the key file '" + file + "' is empty");
+        throw invalid(settings, setting, "the key file '" + file + "' is empty");
       }
       return secret;
-    } catch (IOException unreadable) {
-      throw wrong(settings, setting, "the key file '" + file + "' can't be read: " + unreadable);
+    } catch (IOException readFailure) {
+      throw invalid(settings, setting, "the key file '" + file + "' can't be read: " + readFailure);
     }
   }
 
-  static SettingsException wrong(Settings settings, Setting<?> setting, String problem) {
+  static SettingsException invalid(Settings settings, Setting<?> setting, String problem) {
     return new SettingsException(settings.file(), setting.section(), setting.key(), problem);
   }
 }
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/DaemonSpec.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/DaemonSpec.java
@@ -21,7 +21,7 @@
 import org.alderyard.common.settings.Setting;
 import org.alderyard.common.settings.SettingsSpec;
 
-/** Every setting of the daemon. */
+/** Specification of all daemon settings. */
 public final class DaemonSpec {
   static final Setting<HostId> HOST_ID =
       Setting.required("host", "id", name(HostId::new), "name of this host, unique in the cluster");
@@ -48,7 +48,7 @@
           "network",
           "announcement-address",
           address(),
-          "a port of their own for the announcements of backend servers");
+          "dedicated address for announcements of backend servers");
   static final Setting<InetSocketAddress> OPERATOR_ADDRESS =
       Setting.optional("network", "operator-address", address(), "where operators connect");
 
@@ -59,29 +59,33 @@
           "control",
           "seeds",
           list(address()),
-          "in place of hosts: some hosts, which tell of the others; the inner port is this host's");
+          "replaces hosts: some hosts of the cluster; their inner port equals this host's");
   static final Setting<Boolean> MAY_FOUND =
       Setting.preset(
-          "control", "may-found", flag(), "false", "whether control hosts among the seeds found");
+          "control",
+          "may-found",
+          flag(),
+          "false",
+          "whether control hosts among the seeds may form a new cluster");
   static final Setting<Integer> BORNE_LOSSES =
       Setting.preset(
           "control",
           "borne-losses",
           integer(0, 3),
           "1",
-          "control hosts that may be lost at once; twice as many and one vote");
+          "number n of control hosts that may fail at the same time; 2n + 1 of them vote");
   static final Setting<Path> DATA_FOLDER =
       Setting.optional("control", "data-folder", path(), "where a control host keeps its state");
 
   static final Setting<Path> CLUSTER_KEY_FILE =
       Setting.optional(
-          "keys", "cluster-key-file", path(), "secret that all hosts share, at least 16 bytes");
+          "keys", "cluster-key-file", path(), "secret shared by all hosts, at least 16 bytes");
   static final Setting<String> CLUSTER_KEY_VARIABLE =
       Setting.optional(
           "keys",
           "cluster-key-variable",
           name(text -> new HostId(text).value()),
-          "in place of the file: the environment variable that holds the secret");
+          "replaces the file: name of the environment variable with the secret");
   static final Setting<Path> OPERATOR_KEY_FILE =
       Setting.optional("keys", "operator-key-file", path(), "secret that operators send");
 
@@ -91,60 +95,62 @@
           "monitor-interval",
           duration(Duration.ofMillis(1), Duration.ofSeconds(10)),
           "20ms",
-          "pace at which backend servers are asked for their positions");
+          "interval between position requests to a backend server");
   static final Setting<Duration> MONITOR_IDLE_INTERVAL =
       Setting.preset(
           "proxy",
           "monitor-idle-interval",
           duration(Duration.ofMillis(1), Duration.ofMinutes(1)),
           "500ms",
-          "the same pace for groups that have no work on this host");
+          "interval between position requests for groups without work on this host");
   static final Setting<Duration> READ_WAIT_BUDGET =
       Setting.preset(
           "proxy",
           "read-wait-budget",
           duration(Duration.ZERO, Duration.ofSeconds(10)),
           "300ms",
-          "longest wait of a read for a replica before it goes to the primary");
+          "maximum wait of a read for a replica before it is sent to the primary");
   static final Setting<Integer> QUEUE_PER_SERVER =
       Setting.preset(
           "proxy",
           "queue-per-server",
           integer(1, 100_000),
           "64",
-          "most statements that wait for one backend server");
+          "maximum number of statements queued for one backend server");
   static final Setting<Integer> ROUTING_LOG_SAMPLE =
       Setting.preset(
           "proxy",
           "routing-log-sample",
           integer(1, 1_000_000),
           "1",
-          "of how many routing decisions one is logged; refusals always are");
+          "one in this number of routing decisions is logged; refusals are always logged");
   static final Setting<Duration> MAX_TOKEN_AGE =
       Setting.preset(
           "proxy",
           "max-token-age",
           duration(Duration.ofMinutes(1), Duration.ofHours(24 * 30)),
           "24h",
-          "oldest session token that is accepted");
+          "maximum age of an accepted session token");
   static final Setting<Duration> DRAIN_TIMEOUT =
       Setting.preset(
           "proxy",
           "drain-timeout",
           duration(Duration.ZERO, Duration.ofMinutes(10)),
           "30s",
-          "longest wait for requests in flight at a shutdown");
+          "maximum wait for in-flight requests during shutdown");
   static final Setting<Duration> DRAIN_LINGER =
       Setting.preset(
           "proxy",
           "drain-linger",
           duration(Duration.ZERO, Duration.ofMinutes(1)),
           "1s",
-          "how long the callers' port stays open after the last request at a shutdown");
+          "how long the caller port stays open after the last request during shutdown");
   static final Setting<Integer> WORKER_THREADS =
-      Setting.preset("proxy", "worker-threads", integer(1, 256), "4", "threads of the worker pool");
+      Setting.preset(
+          "proxy", "worker-threads", integer(1, 256), "4", "number of threads in the worker pool");
   static final Setting<Integer> IO_THREADS =
-      Setting.preset("proxy", "io-threads", integer(1, 64), "2", "threads of the HTTP ports");
+      Setting.preset(
+          "proxy", "io-threads", integer(1, 64), "2", "number of I/O threads of the HTTP ports");
 
   static final Setting<Integer> INNER_THREADS =
       Setting.preset(
@@ -152,14 +158,14 @@
           "inner-threads",
           integer(1, 64),
           "2",
-          "threads of the connections to hosts, and of sessions");
+          "number of threads for connections to other hosts and for sessions");
 
   static final Setting<InetSocketAddress> READY_ADDRESS =
       Setting.optional(
           "sessions",
           "ready-address",
           address(),
-          "where the balancer asks; with it callers open sessions instead of sending HTTP");
+          "address of the readiness check; if set, callers open sessions instead of sending HTTP");
   static final Setting<InetSocketAddress> METRICS_ADDRESS =
       Setting.optional("sessions", "metrics-address", address(), "where metrics are served");
   static final Setting<InetSocketAddress> APPOINTER_ADDRESS =
@@ -171,50 +177,57 @@
           "grace",
           duration(Duration.ofSeconds(1), Duration.ofMinutes(10)),
           "10s",
-          "time between the request to stop and the kill");
+          "time between the request to stop the process and its forced termination");
   static final Setting<Integer> MAX_SESSIONS =
       Setting.preset(
-          "sessions", "max-sessions", integer(1, 1_000_000), "3000", "most sessions at a time");
+          "sessions",
+          "max-sessions",
+          integer(1, 1_000_000),
+          "3000",
+          "maximum number of concurrent sessions");
 
   static final Setting<Long> MAX_HEADER_BYTES =
       Setting.preset(
-          "limits", "max-header-size", bytes(1024, 1 << 20), "16KiB", "most bytes of all headers");
+          "limits",
+          "max-header-size",
+          bytes(1024, 1 << 20),
+          "16KiB",
+          "maximum total size of the headers");
   static final Setting<Long> MAX_BODY_BYTES =
       Setting.preset(
-          "limits", "max-body-size", bytes(1024, 1L << 30), "1MiB", "most bytes of a body");
+          "limits", "max-body-size", bytes(1024, 1L << 30), "1MiB", "maximum size of a body");
   static final Setting<Duration> REQUEST_TIMEOUT =
       Setting.preset(
           "limits",
           "request-timeout",
           duration(Duration.ofMillis(100), Duration.ofMinutes(5)),
           "10s",
-          "longest time that a caller may take to send a request");
+          "maximum time for a caller to send a request");
   static final Setting<Duration> IDLE_TIMEOUT =
       Setting.preset(
           "limits",
           "idle-timeout",
           duration(Duration.ofSeconds(1), Duration.ofHours(24)),
           "5min",
-          "longest time that a caller's connection may be idle");
+          "maximum idle time of a caller's connection");
 
   static final Setting<Path> TLS_KEYSTORE_FILE =
       Setting.optional(
           "tls",
           "keystore-file",
           path(),
-          "PKCS#12 file with the key and certificate of the HTTP ports; without it: plain HTTP");
+          "PKCS#12 file with the key and certificate of the HTTP ports; if absent, plain HTTP");
   static final Setting<Path> TLS_PASSWORD_FILE =
       Setting.optional(
           "tls", "keystore-password-file", path(), "file with the password of the keystore");
   static final Setting<Set<TlsPort>> TLS_PORTS =
-      Setting.preset(
-          "tls", "ports", words(TlsPort.class), "operator", "which HTTP ports speak TLS");
+      Setting.preset("tls", "ports", words(TlsPort.class), "operator", "HTTP ports that use TLS");
 
   static final Setting<LogFormat> LOG_FORMAT =
       Setting.preset(
           "log", "format", word(LogFormat.class), "text", "key=value lines or JSON objects");
   static final Setting<LogLevel> LOG_LEVEL =
-      Setting.preset("log", "level", word(LogLevel.class), "info", "least level that is written");
+      Setting.preset("log", "level", word(LogLevel.class), "info", "minimum level of logged lines");
 
   /** All settings, in the order of the documentation. */
   public static final SettingsSpec SPEC =
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/Drainable.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/Drainable.java
@@ -1,8 +1,8 @@
 package org.alderyard.daemon;
 
-/** A part of a process that ends its work before the process ends. */
+/** Component that finishes its work before the process ends. */
 interface Drainable {
 
-  /** Takes no new work, and returns when what runs has ended or its time is over. */
+  /** Stops accepting work and blocks until the running work ends or the time for it is over. */
   void drain();
 }
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/ExitCode.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/ExitCode.java
@@ -1,18 +1,18 @@
 package org.alderyard.daemon;
 
-/** The exit codes of both binaries. */
+/** Exit codes of the daemon and the command-line tool. */
 public enum ExitCode {
-  /** All went well. */
+  /** Success. */
   OK(0),
-  /** The work was done and failed, or a check found a fault. */
+  /** The operation failed, or a check found a fault. */
   FAILED(1),
-  /** The command line is wrong. */
+  /** The command line is invalid. */
   USAGE(2),
-  /** The settings are wrong. */
+  /** The settings are invalid. */
   SETTINGS(3),
-  /** The data folder is damaged or can't be written. */
+  /** The data folder is damaged or not writable. */
   STORAGE(4),
-  /** No host answered. */
+  /** No host responded. */
   UNREACHABLE(5);
 
   private final int number;
@@ -21,7 +21,7 @@
     this.number = number;
   }
 
-  /** Returns the number that the shell sees. */
+  /** Returns the exit status of the process. */
   public int number() {
     return number;
   }
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/HostContext.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/HostContext.java
@@ -33,22 +33,28 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** What the parts of one process share, and the order in which they are closed. */
+/**
+ * Resources shared by the components of one daemon process; closes registered components in reverse
+ * order of registration.
+ */
 final class HostContext implements AutoCloseable {
   private static final Logger log = LoggerFactory.getLogger(HostContext.class);
 
-  /** As long as a request waits: a host that does not take a connection must not cost more. */
+  /**
+   * Equals the time that a request waits, so that a host that accepts no connection delays a
+   * request no longer than that.
+   */
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
 
   /**
-   * How long a connection for statements may take, and one that another host opens. Guards against
-   * handshakes that are begun again and again while all hosts have just started and are slow.
+   * Connect timeout of statement links and of connections that other hosts open. A shorter timeout
+   * made slow hosts restart handshakes repeatedly while all hosts were starting.
    */
-  private static final Duration PATIENT_CONNECT_TIMEOUT = Duration.ofSeconds(3);
+  private static final Duration LONG_CONNECT_TIMEOUT = Duration.ofSeconds(3);
 
-  private static final int MAX_OUTSTANDING = 4_096;
+  private static final int MAX_OUTSTANDING_REQUESTS = 4_096;
 
-  /** One that works, and one when it waits for a lock or the disk. */
+  /** Two threads, so that one can work while the other one waits for a lock or the disk. */
   private static final int CONTROL_THREADS = 2;
 
   final DaemonSettings settings;
@@ -61,38 +67,42 @@
   final WorkerPool workers;
 
   /**
-   * Runs what the hosts do among themselves.
+   * Runs host-to-host work: heartbeats, announcements, leases and the control log.
    *
-   * <p>Guards against leases that run out under load: heartbeats and announcements waited behind
-   * the statements of callers, servers and hosts lost their leases, and there was no primary.
+   * <p>On the worker pool, heartbeats and announcements queued behind callers' statements under
+   * load; servers and hosts then lost their leases, and groups had no primary. Hosts whose callers
+   * open sessions use the worker pool for this work too.
    */
   final WorkerPool controlWorkers;
 
   final EventLoops loops;
   final ProtocolOptions protocol;
-  final ProtocolOptions patientProtocol;
+  final ProtocolOptions longTimeoutProtocol;
   final PeerLinks links;
 
-  /** For the statements of callers, so that what hosts do among themselves waits for none. */
+  /**
+   * Links for callers' statements, separate so that host-to-host messages never queue behind a
+   * statement.
+   */
   final PeerLinks statementLinks;
 
   final ControlHosts controlHosts;
   final ControlClient control;
   final HostState self;
   final ViewClient viewClient;
-  // Closed in the opposite order of their start.
-  private final Deque<AutoCloseable> parts = new ArrayDeque<>();
+  // Guarded by this; the most recently registered component is first.
+  private final Deque<AutoCloseable> components = new ArrayDeque<>();
   private Optional<XnioWorker> ioWorker = Optional.empty();
 
   HostContext(DaemonSettings settings) {
     this.settings = settings;
-    LogOptions.countDropped(registry);
-    workers = part(new WorkerPool("worker", settings.workerThreads()));
+    LogOptions.registerDroppedCounter(registry);
+    workers = register(new WorkerPool("worker", settings.workerThreads()));
     controlWorkers =
         settings.sessions().isPresent()
             ? workers
-            : part(new WorkerPool("control", CONTROL_THREADS));
-    loops = part(new EventLoops(settings.innerThreads()));
+            : register(new WorkerPool("control", CONTROL_THREADS));
+    loops = register(new EventLoops(settings.innerThreads()));
     long incarnation = wallClock.millis();
     protocol =
         new ProtocolOptions(
@@ -101,13 +111,13 @@
             incarnation,
             settings.clusterKey(),
             CONNECT_TIMEOUT,
-            MAX_OUTSTANDING);
-    patientProtocol = protocol.connectingWithin(PATIENT_CONNECT_TIMEOUT);
-    links = part(new PeerLinks(loops, protocol));
-    statementLinks = part(new PeerLinks(loops, patientProtocol));
+            MAX_OUTSTANDING_REQUESTS);
+    longTimeoutProtocol = protocol.connectingWithin(LONG_CONNECT_TIMEOUT);
+    links = register(new PeerLinks(loops, protocol));
+    statementLinks = register(new PeerLinks(loops, longTimeoutProtocol));
     controlHosts =
         new ControlHosts(
-            knownControlHosts(), settings.open().map(OpenClusterOptions::voters).orElse(0));
+            initialControlHosts(), settings.discovery().map(OpenClusterOptions::voters).orElse(0));
     control = new ControlClient(links, controlHosts::addresses, controlWorkers);
     self =
         new HostState(
@@ -122,25 +132,25 @@
     viewClient = new ViewClient(control, self, views, controlWorkers, clock);
   }
 
-  private List<InetSocketAddress> knownControlHosts() {
-    return settings.open().map(OpenClusterOptions::seeds).orElse(settings.controlHosts());
+  private List<InetSocketAddress> initialControlHosts() {
+    return settings.discovery().map(OpenClusterOptions::seeds).orElse(settings.controlHosts());
   }
 
-  /** Takes a part that is closed before those that were taken earlier. */
-  synchronized <T extends AutoCloseable> T part(T part) {
-    parts.push(part);
-    return part;
+  /** Registers a component; components are closed in reverse order of registration. */
+  synchronized <T extends AutoCloseable> T register(T component) {
+    components.push(component);
+    return component;
   }
 
-  private synchronized Optional<AutoCloseable> nextPart() {
-    return Optional.ofNullable(parts.poll());
+  private synchronized Optional<AutoCloseable> pollComponent() {
+    return Optional.ofNullable(components.poll());
   }
 
   /**
-   * Returns the threads of the HTTP ports, which are started by the first call.
+   * Returns the I/O worker of the HTTP ports and starts it on the first call.
    *
-   * <p>Their start takes a fifth of the processor time of a host's whole start, as it brings the
-   * management beans of the Java runtime with it; what callers wait for goes first.
+   * <p>Starting the worker also initializes the management beans of the Java runtime and takes a
+   * fifth of the processor time of a host's start, so it is deferred until callers can be served.
    */
   synchronized XnioWorker ioWorker() {
     if (ioWorker.isEmpty()) {
@@ -150,12 +160,12 @@
   }
 
   /**
-   * Returns threads for the connections to servers alone.
+   * Creates an I/O worker with one thread that is used only for connections to backend servers.
    *
-   * <p>Guards against a server that seems lost under load: its answers waited behind the requests
-   * of callers, on the same threads.
+   * <p>On threads shared with callers, responses of servers queued behind callers' requests, and a
+   * server under load appeared unreachable.
    */
-  XnioWorker serverIo() {
+  XnioWorker newServerIoWorker() {
     return newIoWorker(1);
   }
 
@@ -171,40 +181,41 @@
                       .set(Options.TCP_NODELAY, true)
                       .set(Options.THREAD_DAEMON, true)
                       .getMap());
-      part(worker::shutdownNow);
+      register(worker::shutdownNow);
       return worker;
-    } catch (IOException impossible) {
-      throw new UncheckedIOException(impossible);
+    } catch (IOException startFailure) {
+      throw new UncheckedIOException(startFailure);
     }
   }
 
-  /** Opens an HTTP port that speaks TLS if the settings say so for its kind. */
-  HttpPort port(
+  /** Opens an HTTP port on the shared I/O worker; the port uses TLS if {@code tls} is present. */
+  HttpPort openPort(
       String name, InetSocketAddress address, Optional<SSLContext> tls, HttpHandler handler) {
-    return open(name, address, ioWorker(), tls, handler);
+    return bindPort(name, address, ioWorker(), tls, handler);
   }
 
-  /** Opens an HTTP port that has a thread of its own. */
-  HttpPort ownThreadPort(String name, InetSocketAddress address, HttpHandler handler) {
-    return open(name, address, newIoWorker(1), Optional.empty(), handler);
+  /** Opens a plain HTTP port with a dedicated I/O thread. */
+  HttpPort openDedicatedThreadPort(String name, InetSocketAddress address, HttpHandler handler) {
+    return bindPort(name, address, newIoWorker(1), Optional.empty(), handler);
   }
 
-  private HttpPort open(
+  private HttpPort bindPort(
       String name,
       InetSocketAddress address,
-      XnioWorker threads,
+      XnioWorker worker,
       Optional<SSLContext> tls,
       HttpHandler handler) {
-    HttpPort port = part(new HttpPort(name, address, threads, settings.httpLimits(), tls, handler));
+    HttpPort port =
+        register(new HttpPort(name, address, worker, settings.httpLimits(), tls, handler));
     log.info("event=listening port={} address={} tls={}", name, port.address(), tls.isPresent());
     return port;
   }
 
   @Override
   public void close() {
-    for (var part = nextPart(); part.isPresent(); part = nextPart()) {
+    for (var component = pollComponent(); component.isPresent(); component = pollComponent()) {
       try {
-        part.get().close();
+        component.get().close();
       } catch (Exception failed) {
         log.warn("event=close-failed reason=\"{}\"", failed.toString());
       }
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/HttpStack.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/HttpStack.java
@@ -39,7 +39,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The parts of a proxy that speaks the product's own HTTP interface, and the operators' port. */
+/** Components of a proxy that serves the HTTP interface, and the operator port. */
 final class HttpStack implements Drainable {
   private static final Logger log = LoggerFactory.getLogger(HttpStack.class);
 
@@ -52,8 +52,11 @@
     this.host = host;
   }
 
-  /** Starts what the roles of the settings ask for; operators' port comes after the first view. */
-  void startProxyIfAsked() {
+  /**
+   * Starts the proxy components if this host has the proxy role. The operator port is opened
+   * separately, after the view client has started.
+   */
+  void startProxyIfConfigured() {
     if (host.settings.roles().contains(Role.PROXY)) {
       startProxy();
     }
@@ -62,14 +65,14 @@
   private void startProxy() {
     DaemonSettings settings = host.settings;
     ViewHolder views = host.views;
-    HttpConnector connector = new HttpConnector(host.serverIo(), host.workers);
+    HttpConnector connector = new HttpConnector(host.newServerIoWorker(), host.workers);
     HttpServerAdmin admin = new HttpServerAdmin(connector);
     GroupMonitor monitor =
         new GroupMonitor(
             views, admin, host.clock, settings.monitorInterval(), settings.monitorIdleInterval());
     monitor.start(host.workers);
     WatcherService watchers =
-        host.part(
+        host.register(
             new WatcherService(
                 settings.host(),
                 views,
@@ -80,14 +83,14 @@
                 WatchOptions.DEFAULT));
     watchers.start();
     LeaseTable leases = new LeaseTable(host.clock);
-    PacedConnector paced =
+    PacedConnector rateLimitedConnector =
         new PacedConnector(
             connector,
             host.clock,
             host.workers,
-            () -> PacedConnector.ratePerProxy(proxies(views)),
+            () -> PacedConnector.ratePerProxy(proxyCount(views)),
             PacedConnector.DEFAULT_BURST);
-    ServerPools pools = host.part(new ServerPools(paced, leases));
+    ServerPools pools = host.register(new ServerPools(rateLimitedConnector, leases));
     ReadStack reads =
         new ReadStack(
             settings.readOptions(),
@@ -98,7 +101,7 @@
             leases,
             host.workers,
             host.clock,
-            sharedRandom(),
+            synchronizedRandom(),
             host.registry);
     new LeaseClient(
             host.control,
@@ -122,7 +125,7 @@
             host.clock,
             host.wallClock,
             host.links);
-    writes.feed(watchers);
+    writes.reportLostPrimariesTo(watchers);
     writes.serveLedger(host.dispatcher, inFlight);
     PoolLookup poolLookup = new PoolLookup(host.viewClient::leaseValid);
     StatementService statements =
@@ -134,40 +137,44 @@
             reads.path(),
             writes.writeExecutor(),
             monitor);
-    TransactionService held = host.part(writes.transactions());
-    held.start(host.workers);
+    TransactionService transactionService = host.register(writes.transactions());
+    transactionService.start(host.workers);
     TransactionApi transactions =
-        writes.serveTransactions(held, poolLookup, tokens, host.dispatcher, host.links, inFlight);
+        writes.serveTransactions(
+            transactionService, poolLookup, tokens, host.dispatcher, host.links, inFlight);
     AnnouncementHandler announcements = new AnnouncementHandler(host.control);
     settings
         .announcementAddress()
         .ifPresent(
-            address -> host.ownThreadPort("announcements", address, announcements.handler()));
+            address ->
+                host.openDedicatedThreadPort("announcements", address, announcements.handler()));
     CallerApi api =
         new CallerApi(
             settings.host(),
             statements,
             transactions,
             announcements,
-            () -> host.viewClient.leaseValid() && !inFlight.draining() && !drained(views),
+            () -> host.viewClient.leaseValid() && !inFlight.draining() && !drainingOrNoProxy(views),
             inFlight,
             new MetricsHandler(host.registry));
     callerApi = Optional.of(api);
-    callerPort = Optional.of(port(TlsPort.CALLER, settings.callerAddress(), api.handler()));
+    callerPort = Optional.of(openPort(TlsPort.CALLER, settings.callerAddress(), api.handler()));
   }
 
-  private static long proxies(ViewHolder views) {
+  private static long proxyCount(ViewHolder views) {
     return views.current().hosts().values().stream().filter(HostState::proxy).count();
   }
 
-  /** Operators drain a host by ticket, or take its role away. */
-  private boolean drained(ViewHolder views) {
+  /**
+   * Returns whether operators drain this host by a change ticket or have removed its proxy role.
+   */
+  private boolean drainingOrNoProxy(ViewHolder views) {
     return Optional.ofNullable(views.current().hosts().get(host.settings.host()))
         .filter(host -> host.draining() || !host.proxy())
         .isPresent();
   }
 
-  private RandomGenerator sharedRandom() {
+  private RandomGenerator synchronizedRandom() {
     SplittableRandom random = new SplittableRandom(host.self.incarnation());
     return () -> {
       synchronized (random) {
@@ -176,7 +183,7 @@
     };
   }
 
-  void startOperators() {
+  void openOperatorPort() {
     if (host.settings.operatorAddress().isEmpty()) {
       return;
     }
@@ -185,21 +192,22 @@
             new RemoteControlGateway(host.control),
             host.views::current,
             host.settings.operatorKey().orElseThrow().value());
-    port(TlsPort.OPERATOR, host.settings.operatorAddress().get(), api.handler());
+    openPort(TlsPort.OPERATOR, host.settings.operatorAddress().get(), api.handler());
   }
 
-  private HttpPort port(TlsPort kind, InetSocketAddress address, HttpHandler handler) {
+  private HttpPort openPort(TlsPort kind, InetSocketAddress address, HttpHandler handler) {
     String name = kind.name().toLowerCase(Locale.ROOT);
-    return host.port(name, address, host.settings.tls().forPort(kind), handler);
+    return host.openPort(name, address, host.settings.tls().forPort(kind), handler);
   }
 
   /**
-   * Waits for the requests in flight.
+   * Waits for in-flight requests, then closes the caller port.
    *
-   * <p>Guards against a shutdown that cuts a write off between its run and its answer: the caller
-   * would not know whether its order ran. The port stays open meanwhile, so new requests are told
-   * to go elsewhere, and the balancer sees it at {@code /ready}. Then the port closes, and the
-   * connections that are left are ended by their next answers.
+   * <p>Without the wait, shutdown would cut off a write between its execution and its response, and
+   * the caller could not tell whether the write ran. The port stays open meanwhile, so that new
+   * requests are refused with the advice to use another host and the load balancer sees the drain
+   * at {@code /ready}. After the port is closed, the remaining connections end with their next
+   * response.
    */
   @Override
   public void drain() {
@@ -207,19 +215,19 @@
     log.info("event=drain-begin in-flight={}", inFlight.count());
     try {
       drained.get(host.settings.drainTimeout().toMillis(), TimeUnit.MILLISECONDS);
-      // The balancer and the callers turn to other hosts; meanwhile connections are kept.
+      // Connections stay open while the load balancer and callers switch to other hosts.
       TimeUnit.MILLISECONDS.sleep(host.settings.drainLinger().toMillis());
       callerPort.ifPresent(HttpPort::close);
       callerApi.ifPresent(CallerApi::closeKeepAliveConnections);
-      // Callers with a kept connection learn from their next answer that it ends.
+      // The next response on each keep-alive connection announces that the connection closes.
       TimeUnit.MILLISECONDS.sleep(host.settings.drainLinger().toMillis());
       log.info("event=drain-end reason=NOTHING_IN_FLIGHT");
-    } catch (TimeoutException late) {
+    } catch (TimeoutException timeout) {
       log.warn("event=drain-end reason=TIMEOUT in-flight={}", inFlight.count());
-    } catch (InterruptedException stopped) {
+    } catch (InterruptedException interruption) {
       Thread.currentThread().interrupt();
-    } catch (ExecutionException impossible) {
-      log.error("event=drain-failed", impossible);
+    } catch (ExecutionException failure) {
+      log.error("event=drain-failed", failure);
     }
   }
 }
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/LazyAppender.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/LazyAppender.java
@@ -8,14 +8,15 @@
 import java.util.function.Supplier;
 
 /**
- * Builds the appender that it hands lines to when the first line comes.
+ * Appender that creates its delegate when the first line is logged.
  *
- * <p>A host replaces this one as soon as it has read its settings, mostly without a line before;
- * the formats of text lines, which nobody saw, took a tenth of the processor time of its start.
+ * <p>A host replaces this appender as soon as it has read its settings, usually before any line is
+ * logged. Creating the text format eagerly took a tenth of the processor time of a start, although
+ * it was rarely used.
  */
 final class LazyAppender extends AppenderBase<ILoggingEvent> {
   private final Supplier<Appender<ILoggingEvent>> factory;
-  private Optional<Appender<ILoggingEvent>> target = Optional.empty();
+  private Optional<Appender<ILoggingEvent>> delegate = Optional.empty();
 
   LazyAppender(LoggerContext context, Supplier<Appender<ILoggingEvent>> factory) {
     this.factory = factory;
@@ -23,18 +24,18 @@
     start();
   }
 
-  /** The base class holds its lock. */
+  /** Called with the lock of the base class held. */
   @Override
   protected void append(ILoggingEvent event) {
-    if (target.isEmpty()) {
-      target = Optional.of(factory.get());
+    if (delegate.isEmpty()) {
+      delegate = Optional.of(factory.get());
     }
-    target.get().doAppend(event);
+    delegate.get().doAppend(event);
   }
 
   @Override
   public void stop() {
     super.stop();
-    target.ifPresent(Appender::stop);
+    delegate.ifPresent(Appender::stop);
   }
 }
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/LogFormat.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/LogFormat.java
@@ -1,9 +1,9 @@
 package org.alderyard.daemon;
 
-/** How a log line is written. */
+/** Format of log lines. */
 public enum LogFormat {
-  /** As {@code key=value} pairs. */
+  /** Lines of {@code key=value} pairs. */
   TEXT,
-  /** As one JSON object. */
+  /** One JSON object per line. */
   JSON
 }
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/LogLevel.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/LogLevel.java
@@ -1,12 +1,12 @@
 package org.alderyard.daemon;
 
-/** The least level of lines that are logged. */
+/** Minimum level of logged lines. */
 public enum LogLevel {
-  /** Failures that need an operator. */
+  /** Failures that require an operator. */
   ERROR,
-  /** Faults that the system deals with. */
+  /** Faults that the system handles itself. */
   WARN,
-  /** Decisions and changes of state. */
+  /** Decisions and state changes. */
   INFO,
   /** Details for developers. */
   DEBUG
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/LogOptions.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/LogOptions.java
@@ -12,20 +12,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * How lines are logged.
+ * Format and level of the log.
  *
- * @param format as text or as JSON
- * @param level the least level that is written
+ * @param format format of log lines
+ * @param level minimum level of logged lines
  */
 public record LogOptions(LogFormat format, LogLevel level) {
-  private static final String APPENDER = "bounded";
+  private static final String APPENDER_NAME = "bounded";
 
-  /** Puts the options in force for this process. */
+  /**
+   * Applies these options to the logging context of the process. A configuration file of the user
+   * keeps its appenders; only the level is applied.
+   */
   void apply() {
     LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
     Logger root = context.getLogger(Logger.ROOT_LOGGER_NAME);
     root.setLevel(Level.toLevel(level.name()));
-    if (LogSetup.hasOwnFile()) {
+    if (LogSetup.hasUserConfiguration()) {
       return;
     }
     root.detachAndStopAllAppenders();
@@ -33,17 +36,19 @@
         new BoundedAppender(
             context,
             format == LogFormat.JSON ? jsonAppender(context) : LogSetup.textAppender(context));
-    appender.setName(APPENDER);
+    appender.setName(APPENDER_NAME);
     root.addAppender(appender);
   }
 
-  /** Writes what waits; nothing is logged after it. */
+  /** Flushes queued lines and stops logging. */
   static void close() {
     ((LoggerContext) LoggerFactory.getILoggerFactory()).stop();
   }
 
-  /** Counts the lines that were dropped since nobody read the output. */
-  static void countDropped(PrometheusRegistry registry) {
+  /**
+   * Registers the counter of lines that were dropped because the output was not read fast enough.
+   */
+  static void registerDroppedCounter(PrometheusRegistry registry) {
     CounterWithCallback.builder()
         .name("alderyard_log_lines_dropped_total")
         .help("Lines that were not logged, as the queue before the output was full.")
@@ -54,7 +59,7 @@
   private static long droppedLines() {
     LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
     Appender<ILoggingEvent> appender =
-        context.getLogger(Logger.ROOT_LOGGER_NAME).getAppender(APPENDER);
+        context.getLogger(Logger.ROOT_LOGGER_NAME).getAppender(APPENDER_NAME);
     return appender instanceof BoundedAppender bounded ? bounded.dropped() : 0;
   }
 
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/LogProvider.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/LogProvider.java
@@ -15,51 +15,52 @@
 import org.slf4j.spi.SLF4JServiceProvider;
 
 /**
- * Starts the log of a host without a search for providers and configurators.
+ * SLF4J provider that starts Logback without searching the class path for providers and
+ * configurators.
  *
  * <p>Both searches open every jar of the program; together they took a quarter of the processor
- * time before a host listened, and while a host starts its callers wait. A user's own configuration
- * file is looked up as the library does it.
+ * time before a host listened, and callers wait while a host starts. A configuration file of the
+ * user is located by the regular Logback lookup.
  */
 public final class LogProvider implements SLF4JServiceProvider {
   private static final String REQUESTED_API_VERSION = "2.0.99";
-  private static final String VERBOSITY = "slf4j.internal.verbosity";
+  private static final String VERBOSITY_PROPERTY = "slf4j.internal.verbosity";
 
   private final LoggerContext context = new LoggerContext();
   private final IMarkerFactory markers = new BasicMarkerFactory();
-  private final LogbackMDCAdapter adapter = new LogbackMDCAdapter();
+  private final LogbackMDCAdapter mdcAdapter = new LogbackMDCAdapter();
 
-  /** Makes this the provider of the process, unless its command line names one. */
+  /** Selects this provider for the process unless the command line names another one. */
   static void install() {
     if (System.getProperty(LoggerFactory.PROVIDER_PROPERTY_KEY) != null) {
       return;
     }
     System.setProperty(LoggerFactory.PROVIDER_PROPERTY_KEY, LogProvider.class.getName());
-    if (System.getProperty(VERBOSITY) == null) {
-      // Else the library tells of the chosen provider in a line that is not the log's.
-      System.setProperty(VERBOSITY, "WARN");
+    if (System.getProperty(VERBOSITY_PROPERTY) == null) {
+      // Otherwise SLF4J reports the selected provider in a line outside the log format.
+      System.setProperty(VERBOSITY_PROPERTY, "WARN");
     }
   }
 
   @Override
   public void initialize() {
     context.setName(CoreConstants.DEFAULT_CONTEXT_NAME);
-    context.setMDCAdapter(adapter);
-    if (LogSetup.hasOwnFile()) {
-      configureByFile();
+    context.setMDCAdapter(mdcAdapter);
+    if (LogSetup.hasUserConfiguration()) {
+      configureFromFile();
     } else {
-      LogSetup.setUp(context);
+      LogSetup.configureDefaults(context);
     }
     context.start();
   }
 
-  private void configureByFile() {
+  private void configureFromFile() {
     try {
       new ContextInitializer(context).autoConfig();
     } catch (JoranException malformed) {
       throw AlderyardException.notRun(
           ErrorCode.SETTINGS_INVALID,
-          "the file of the log is not valid: " + malformed.getMessage());
+          "the logging configuration file is invalid: " + malformed.getMessage());
     }
   }
 
@@ -75,7 +76,7 @@
 
   @Override
   public MDCAdapter getMDCAdapter() {
-    return adapter;
+    return mdcAdapter;
   }
 
   @Override
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/LogSetup.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/LogSetup.java
@@ -12,10 +12,10 @@
 import java.util.List;
 
 /**
- * The log until the settings are read, and of processes without settings: lines of text.
+ * Configures text logging until the settings are read, and for processes without settings.
  *
- * <p>A file of configuration would do the same; reading one takes a fifth of the processor time
- * that a host needs to start, and while a host starts its callers wait.
+ * <p>Reading an equivalent configuration file takes a fifth of the processor time of a host's
+ * start, and callers wait while a host starts.
  */
 public final class LogSetup extends ContextAwareBase implements Configurator {
   private static final String PATTERN =
@@ -24,30 +24,30 @@
 
   private static final String LEVEL_VARIABLE = "ALDERYARD_LOG_LEVEL";
 
-  /** The property by which a user names a configuration file, which goes first. */
+  /** System property that names a configuration file of the user, which takes precedence. */
   private static final String FILE_PROPERTY = "logback.configurationFile";
 
-  /** Libraries that tell of their own start at each one of ours. */
-  private static final List<String> QUIET = List.of("io.undertow", "org.xnio", "io.netty");
+  /** Libraries that log lines about their own start each time a process starts. */
+  private static final List<String> QUIET_LOGGERS = List.of("io.undertow", "org.xnio", "io.netty");
 
   @Override
   public ExecutionStatus configure(LoggerContext context) {
-    if (hasOwnFile()) {
+    if (hasUserConfiguration()) {
       return ExecutionStatus.INVOKE_NEXT_IF_ANY;
     }
-    setUp(context);
+    configureDefaults(context);
     return ExecutionStatus.DO_NOT_INVOKE_NEXT_IF_ANY;
   }
 
-  static void setUp(LoggerContext context) {
+  static void configureDefaults(LoggerContext context) {
     Logger root = context.getLogger(Logger.ROOT_LOGGER_NAME);
     root.setLevel(Level.toLevel(System.getenv(LEVEL_VARIABLE), Level.INFO));
     root.addAppender(new LazyAppender(context, () -> textAppender(context)));
-    QUIET.forEach(name -> context.getLogger(name).setLevel(Level.WARN));
+    QUIET_LOGGERS.forEach(name -> context.getLogger(name).setLevel(Level.WARN));
   }
 
-  /** Returns whether a file of the user's own says where lines go. */
-  static boolean hasOwnFile() {
+  /** Returns whether the user has supplied a logging configuration file. */
+  static boolean hasUserConfiguration() {
     return System.getProperty(FILE_PROPERTY) != null;
   }
 
@@ -58,7 +58,7 @@
     return console(context, encoder);
   }
 
-  /** Starts an encoder and an appender that writes its lines to standard output. */
+  /** Starts the encoder and creates a started appender that writes to standard output. */
   static ConsoleAppender<ILoggingEvent> console(
       LoggerContext context, Encoder<ILoggingEvent> encoder) {
     encoder.start();
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/NoManagementBeans.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/NoManagementBeans.java
@@ -6,31 +6,32 @@
 import javax.management.MBeanServerDelegate;
 
 /**
- * Leaves the Java runtime without management beans.
+ * Disables the MBean server of the Java runtime.
  *
- * <p>The library of the HTTP ports registers its threads with them and goes on without when it
- * can't; the beans of the runtime that come with that took half of the time to open those ports,
- * while the first callers wait. Metrics are served at the metrics address.
+ * <p>The library of the HTTP ports registers its threads as management beans and continues if that
+ * fails. Initializing the beans of the runtime took half of the time to open the HTTP ports, while
+ * the first callers wait. Metrics are served at the metrics address instead.
  */
 public final class NoManagementBeans extends MBeanServerBuilder {
-  private static final String BUILDER = "javax.management.builder.initial";
+  private static final String BUILDER_PROPERTY = "javax.management.builder.initial";
 
-  /** Each option by which a user asks for remote management begins so. */
-  private static final String REMOTE = "com.sun.management.jmxremote";
+  /** Common prefix of the system properties that enable remote management. */
+  private static final String REMOTE_PROPERTY_PREFIX = "com.sun.management.jmxremote";
 
-  /** Puts it in force, unless the command line asks for management. */
+  /** Installs this builder unless the command line configures management or another builder. */
   static void install() {
-    boolean asked =
+    boolean requested =
         System.getProperties().stringPropertyNames().stream()
-            .anyMatch(name -> name.startsWith(REMOTE) || name.equals(BUILDER));
-    if (!asked) {
-      System.setProperty(BUILDER, NoManagementBeans.class.getName());
+            .anyMatch(
+                name -> name.startsWith(REMOTE_PROPERTY_PREFIX) || name.equals(BUILDER_PROPERTY));
+    if (!requested) {
+      System.setProperty(BUILDER_PROPERTY, NoManagementBeans.class.getName());
     }
   }
 
   @Override
   public MBeanServer newMBeanServer(
       String domain, MBeanServer outer, MBeanServerDelegate delegate) {
-    throw new JMRuntimeException("this process has no management beans");
+    throw new JMRuntimeException("management beans are disabled in this process");
   }
 }
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/OpenClusterOptions.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/OpenClusterOptions.java
@@ -4,16 +4,19 @@
 import java.util.List;
 
 /**
- * How a host finds the others where the settings do not list the control hosts.
+ * How a host discovers other hosts when the settings do not list the control hosts.
  *
- * @param seeds inner addresses of a few hosts
- * @param mayFound whether the control hosts among the seeds found the cluster
- * @param borneLosses how many control hosts may be lost at the same time
+ * @param seeds inner addresses of some hosts of the cluster
+ * @param mayFound whether the control hosts among the seeds may form a new cluster
+ * @param toleratedLosses number of control hosts that may fail at the same time
  */
-record OpenClusterOptions(List<InetSocketAddress> seeds, boolean mayFound, int borneLosses) {
+record OpenClusterOptions(List<InetSocketAddress> seeds, boolean mayFound, int toleratedLosses) {
 
-  /** Returns how many control hosts vote: a majority must be left after the losses. */
+  /**
+   * Returns the number of voting control hosts: the smallest number of which a majority remains
+   * after {@code toleratedLosses} failures.
+   */
   int voters() {
-    return 2 * borneLosses + 1;
+    return 2 * toleratedLosses + 1;
   }
 }
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/Role.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/Role.java
@@ -1,9 +1,9 @@
 package org.alderyard.daemon;
 
-/** What a process does. */
+/** Role of a daemon process. */
 public enum Role {
-  /** It serves callers. */
+  /** Serves callers. */
   PROXY,
-  /** It keeps the control state on its disk. */
+  /** Stores the control state on disk. */
   CONTROL
 }
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/SessionOptions.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/SessionOptions.java
@@ -5,13 +5,13 @@
 import java.util.Optional;
 
 /**
- * How a host serves callers that open sessions.
+ * Settings of a host whose callers open sessions.
  *
- * @param readyAddress where the balancer asks whether this host takes new callers
- * @param metricsAddress where metrics are served
- * @param appointerAddress where the service is that appoints primaries
- * @param grace the time between the request to stop and the kill
- * @param maxSessions the most sessions at a time
+ * @param readyAddress address of the readiness endpoint that the load balancer queries
+ * @param metricsAddress address that serves metrics
+ * @param appointerAddress address of the service that appoints primaries
+ * @param grace time between the request to stop the process and its forced termination
+ * @param maxSessions maximum number of concurrent sessions
  */
 record SessionOptions(
     InetSocketAddress readyAddress,
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/SessionStack.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/SessionStack.java
@@ -18,44 +18,56 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The parts of a host whose callers open sessions. */
+/** Components of a host whose callers open sessions. */
 final class SessionStack implements Drainable {
   private static final Logger log = LoggerFactory.getLogger(SessionStack.class);
 
-  /** Leases change with the load, which moves over seconds. */
+  /** Interval between lease renewals. The load changes over seconds, and the leases follow it. */
   private static final Duration LEASE_INTERVAL = Duration.ofSeconds(1);
 
   /**
-   * The part of the grace until new callers stop coming: the balancer asks every second and takes a
-   * host out after two bad answers.
+   * Fraction of the grace after which the host stops accepting new callers. The load balancer
+   * queries readiness every second and removes a host after two failed checks.
    */
-  private static final double BALANCER_SHARE = 0.42;
+  private static final double ACCEPT_SHARE = 0.42;
 
-  /** Then transactions have had half of the grace, and are ended. */
+  /**
+   * Fraction of the grace after which open transactions are rolled back; by then they have had half
+   * of the grace to finish.
+   */
   private static final double TRANSACTION_SHARE = 0.52;
 
-  /** What is left after that closes ports, files and the log. */
-  private static final double END_SHARE = 0.85;
+  /**
+   * Fraction of the grace after which the drain ends. The remainder is used to close ports, files
+   * and the log.
+   */
+  private static final double DRAIN_SHARE = 0.85;
 
   private static final long POLL_MILLIS = 50;
 
-  /** All hosts that start at once have their first view before, by a margin for slow disks. */
-  private static final Duration HTTP_WAIT = Duration.ofSeconds(2);
+  /**
+   * Maximum wait for the first view before the HTTP ports open. Hosts that start at the same time
+   * receive their first view earlier, with a margin for slow disks.
+   */
+  private static final Duration MAX_FIRST_VIEW_WAIT = Duration.ofSeconds(2);
 
-  /** In this time a host with cold code answers the callers that waited for its view. */
-  private static final Duration HTTP_AFTER_VIEW = Duration.ofMillis(500);
+  /**
+   * Delay of the HTTP ports after the first view, in which a host whose code is not yet compiled
+   * serves the callers that waited for the view.
+   */
+  private static final Duration HTTP_DELAY_AFTER_VIEW = Duration.ofMillis(500);
 
   /**
-   * How much later than the first view a control host begins to serve callers. On its one core the
-   * statements that waited kept the views of all other hosts back for 0.4 s.
+   * Delay after the first view before a control host serves callers. On the single core of a
+   * control host, queued statements otherwise delayed the views of all other hosts by 0.4 s.
    */
-  private static final Duration CONTROL_HEAD_START = Duration.ofMillis(300);
+  private static final Duration CONTROL_HOST_SERVING_DELAY = Duration.ofMillis(300);
 
   private final HostContext host;
   private final SessionOptions options;
   private final SessionService sessions;
-  private Optional<CallerPort> callers = Optional.empty();
-  private final CompletableFuture<Void> operable = new CompletableFuture<>();
+  private Optional<CallerPort> callerPort = Optional.empty();
+  private final CompletableFuture<Void> whenOperatorPortsOpen = new CompletableFuture<>();
   private volatile boolean stopping;
 
   SessionStack(HostContext host, SessionOptions options) {
@@ -75,7 +87,9 @@
             host.viewClient::leaseValid,
             new SessionLimits(
                 options.maxSessions(),
-                host.settings.roles().contains(Role.CONTROL) ? CONTROL_HEAD_START : Duration.ZERO,
+                host.settings.roles().contains(Role.CONTROL)
+                    ? CONTROL_HOST_SERVING_DELAY
+                    : Duration.ZERO,
                 host.settings.readOptions().routingLogSample()));
     new LeaseClient(
             host.control,
@@ -92,17 +106,17 @@
   }
 
   /**
-   * Takes callers.
+   * Opens the caller port and starts the session service.
    *
-   * <p>The first part that starts on a host that does not control: after a loss of power everywhere
-   * callers come at once, and one that finds no port spends one of its few retries. Their openings
-   * wait for the first view.
+   * <p>On hosts without the control role this is the first component that starts: after a power
+   * loss of all hosts, callers connect immediately, and a caller that finds no open port uses one
+   * of its few retries. Session openings wait for the first view.
    */
-  void startCallers() {
+  void startCallerPort() {
     sessions.start();
-    callers =
+    callerPort =
         Optional.of(
-            host.part(
+            host.register(
                 new CallerPort(
                     host.loops,
                     host.settings.callerAddress(),
@@ -115,22 +129,22 @@
   }
 
   /**
-   * Opens the ports of the balancer, of operators and of servers.
+   * Schedules the opening of the readiness, operator and metrics ports.
    *
-   * <p>They come after the first view, or after a while on hosts that find no leader: their library
-   * takes a tenth of the processor time of a start, and callers' openings wait for the view. The
-   * start does not wait for them, so that a host that is asked to stop meanwhile drains its
-   * callers.
+   * <p>The ports open after the first view, or after a timeout on hosts that find no leader: their
+   * library takes a tenth of the processor time of a start, while callers' session openings wait
+   * for the view. This method does not block, so that a host that is stopped meanwhile can drain
+   * its callers.
    */
-  void startHttpLater() {
+  void scheduleHttpStart() {
     sessions
-        .firstView(HTTP_WAIT)
-        .thenRun(() -> host.workers.schedule(HTTP_AFTER_VIEW, this::startHttp));
+        .firstView(MAX_FIRST_VIEW_WAIT)
+        .thenRun(() -> host.workers.schedule(HTTP_DELAY_AFTER_VIEW, this::startHttp));
   }
 
-  /** Returns a future that is done when the ports of the balancer and of operators are open. */
-  CompletableFuture<Void> operable() {
-    return operable;
+  /** Returns a future that completes when the readiness and operator ports are open. */
+  CompletableFuture<Void> whenOperatorPortsOpen() {
+    return whenOperatorPortsOpen;
   }
 
   private void startHttp() {
@@ -139,20 +153,20 @@
     }
     try {
       openHttpPorts();
-      operable.complete(null);
-    } catch (AlderyardException taken) {
-      host.failure.complete(taken);
+      whenOperatorPortsOpen.complete(null);
+    } catch (AlderyardException bindFailure) {
+      host.failure.complete(bindFailure);
     }
   }
 
   private void openHttpPorts() {
-    host.port(
+    host.openPort(
         "ready", options.readyAddress(), Optional.empty(), ControlPort.readiness(this::ready));
     host.settings
         .operatorAddress()
         .ifPresent(
             address ->
-                host.port(
+                host.openPort(
                     "control",
                     address,
                     Optional.empty(),
@@ -162,7 +176,8 @@
         .metricsAddress()
         .ifPresent(
             address ->
-                host.port("metrics", address, Optional.empty(), new MetricsHandler(host.registry)));
+                host.openPort(
+                    "metrics", address, Optional.empty(), new MetricsHandler(host.registry)));
   }
 
   private boolean ready() {
@@ -172,14 +187,14 @@
   /**
    * Ends the sessions within the grace.
    *
-   * <p>The port stays open until the balancer has seen that this host is not ready; sessions in
-   * which nothing happens are closed then, the others as soon as they rest, and open transactions
-   * after half of the grace.
+   * <p>The caller port stays open until the load balancer has seen that this host is not ready.
+   * Idle sessions are then closed, other sessions are closed as soon as they become idle, and open
+   * transactions are rolled back after half of the grace.
    */
   @Override
   public void drain() {
     stopping = true;
-    if (callers.isEmpty()) {
+    if (callerPort.isEmpty()) {
       return;
     }
     long startNanos = host.clock.nowNanos();
@@ -189,36 +204,36 @@
         sessions.heldTransactionCount());
     sessions.stopAcceptingForwarded();
     try {
-      waitUntil(startNanos, BALANCER_SHARE);
+      awaitUnused(startNanos, ACCEPT_SHARE);
       sessions.drain();
       closeIdleUntil(startNanos, TRANSACTION_SHARE);
-      callers.get().abortTransactions();
+      callerPort.get().abortTransactions();
       sessions.rollBackHeldTransactions();
-      closeIdleUntil(startNanos, END_SHARE);
-    } catch (InterruptedException stopped) {
+      closeIdleUntil(startNanos, DRAIN_SHARE);
+    } catch (InterruptedException interruption) {
       Thread.currentThread().interrupt();
     }
     log.info("event=drain-end sessions={}", sessions.sessionCount());
   }
 
-  private boolean inUse() {
+  private boolean hasSessionsOrTransactions() {
     return sessions.sessionCount() > 0 || sessions.heldTransactionCount() > 0;
   }
 
-  private void waitUntil(long startNanos, double share) throws InterruptedException {
-    while (!over(startNanos, share) && inUse()) {
+  private void awaitUnused(long startNanos, double share) throws InterruptedException {
+    while (!elapsed(startNanos, share) && hasSessionsOrTransactions()) {
       TimeUnit.MILLISECONDS.sleep(POLL_MILLIS);
     }
   }
 
   private void closeIdleUntil(long startNanos, double share) throws InterruptedException {
-    while (!over(startNanos, share) && inUse()) {
-      callers.get().closeIdle();
+    while (!elapsed(startNanos, share) && hasSessionsOrTransactions()) {
+      callerPort.get().closeIdle();
       TimeUnit.MILLISECONDS.sleep(POLL_MILLIS);
     }
   }
 
-  private boolean over(long startNanos, double share) {
+  private boolean elapsed(long startNanos, double share) {
     return host.clock.nowNanos() - startNanos > options.grace().toNanos() * share;
   }
 }
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/SettingsWatch.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/SettingsWatch.java
@@ -13,62 +13,64 @@
 import sun.misc.Signal;
 
 /**
- * Reads the settings again when the process gets SIGHUP, and when the file has other content.
+ * Reloads the settings file on SIGHUP and when its content changes.
  *
- * <p>A file that can't be used changes nothing: the process goes on with what it has.
+ * <p>An invalid file is ignored; the process keeps its current settings.
  */
 final class SettingsWatch {
   private static final Logger log = LoggerFactory.getLogger(SettingsWatch.class);
 
-  /** The pace at which the file is looked at where no signal tells of a change. */
+  /** Interval of the check for changed content, which needs no signal. */
   private static final Duration INTERVAL = Duration.ofSeconds(1);
 
   private final Path file;
   private final WorkerPool workers;
   private final Consumer<DaemonSettings> onChange;
   // Guarded by this.
-  private byte[] content;
+  private byte[] lastContent;
 
   SettingsWatch(Path file, WorkerPool workers, Consumer<DaemonSettings> onChange) {
     this.file = file;
     this.workers = workers;
     this.onChange = onChange;
-    this.content = read();
+    this.lastContent = readFile();
   }
 
-  /** Starts to look. Without a handler the runtime ends the process at SIGHUP. */
+  /**
+   * Starts watching. Without the signal handler, the Java runtime would end the process on SIGHUP.
+   */
   void start() {
-    Signal.handle(new Signal("HUP"), signal -> workers.execute(() -> look("signal")));
-    workers.scheduleRepeatedly(INTERVAL, () -> look("file"));
+    Signal.handle(new Signal("HUP"), signal -> workers.execute(() -> reloadIfChanged("signal")));
+    workers.scheduleRepeatedly(INTERVAL, () -> reloadIfChanged("file"));
   }
 
-  synchronized void look(String trigger) {
-    byte[] now = read();
+  synchronized void reloadIfChanged(String trigger) {
+    byte[] currentContent = readFile();
     boolean signalled = trigger.equals("signal");
-    if (Arrays.equals(now, content)) {
+    if (Arrays.equals(currentContent, lastContent)) {
       if (signalled) {
         log.info("event=settings-unchanged trigger={}", trigger);
       }
       return;
     }
-    content = now;
+    lastContent = currentContent;
     try {
       onChange.accept(DaemonSettings.read(file));
       log.info("event=settings-reloaded trigger={}", trigger);
-    } catch (AlderyardException unusable) {
+    } catch (AlderyardException loadFailure) {
       log.warn(
           "event=settings-refused trigger={} code={} reason=\"{}\"",
           trigger,
-          unusable.code(),
-          unusable.getMessage());
+          loadFailure.code(),
+          loadFailure.getMessage());
     }
   }
 
-  private byte[] read() {
+  private byte[] readFile() {
     try {
       return Files.readAllBytes(file);
-    } catch (IOException unreadable) {
-      log.warn("event=settings-unreadable reason=\"{}\"", unreadable.toString());
+    } catch (IOException readFailure) {
+      log.warn("event=settings-unreadable reason=\"{}\"", readFailure.toString());
       return new byte[0];
     }
   }
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/TlsOptions.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/TlsOptions.java
@@ -13,53 +13,58 @@
 import org.alderyard.common.settings.Settings;
 
 /**
- * The keys of the HTTP ports.
+ * TLS settings of the HTTP ports.
  *
- * @param context the key and certificate; without them no port speaks TLS
- * @param ports which ports speak TLS
+ * @param context TLS context with the key and certificate; if empty, every port serves plain HTTP
+ * @param ports ports that use TLS
  */
 public record TlsOptions(Optional<SSLContext> context, Set<TlsPort> ports) {
   private static final String KEYSTORE_TYPE = "PKCS12";
-  private static final String PROTOCOL = "TLS";
+  private static final String CONTEXT_PROTOCOL = "TLS";
 
-  /** Reads the keystore that the settings name, if they name one. */
-  static TlsOptions of(Settings settings) {
+  /**
+   * Loads the keystore if the settings name a keystore file.
+   *
+   * @throws SettingsException if the password file is missing or the keystore cannot be loaded
+   */
+  static TlsOptions load(Settings settings) {
     Set<TlsPort> ports = settings.get(DaemonSpec.TLS_PORTS);
     Optional<Path> file = settings.findPath(DaemonSpec.TLS_KEYSTORE_FILE);
     if (file.isEmpty()) {
       return new TlsOptions(Optional.empty(), ports);
     }
     if (settings.find(DaemonSpec.TLS_PASSWORD_FILE).isEmpty()) {
-      throw DaemonSettings.wrong(
+      throw DaemonSettings.invalid(
           settings,
           DaemonSpec.TLS_PASSWORD_FILE,
           "the key is missing; [tls] keystore-file needs it");
     }
-    String password = DaemonSettings.secret(settings, DaemonSpec.TLS_PASSWORD_FILE);
+    String password = DaemonSettings.readSecret(settings, DaemonSpec.TLS_PASSWORD_FILE);
     try {
-      return new TlsOptions(Optional.of(load(file.get(), password.toCharArray())), ports);
-    } catch (IOException | GeneralSecurityException unusable) {
-      throw DaemonSettings.wrong(
+      return new TlsOptions(Optional.of(loadContext(file.get(), password.toCharArray())), ports);
+    } catch (IOException | GeneralSecurityException loadFailure) {
+      throw DaemonSettings.invalid(
           settings,
           DaemonSpec.TLS_KEYSTORE_FILE,
-          "'" + file.get() + "' can't be used as a PKCS#12 keystore: " + unusable.getMessage());
+          "'" + file.get() + "' can't be used as a PKCS#12 keystore: " + loadFailure.getMessage());
     }
   }
 
-  private static SSLContext load(Path file, char[] password)
+  private static SSLContext loadContext(Path file, char[] password)
       throws IOException, GeneralSecurityException {
-    KeyStore store = KeyStore.getInstance(KEYSTORE_TYPE);
+    KeyStore keyStore = KeyStore.getInstance(KEYSTORE_TYPE);
     try (InputStream in = Files.newInputStream(file)) {
-      store.load(in, password);
+      keyStore.load(in, password);
     }
-    KeyManagerFactory keys = KeyManagerFactory.getInstance(KeyManagerFactory.getDefaultAlgorithm());
-    keys.init(store, password);
-    SSLContext context = SSLContext.getInstance(PROTOCOL);
-    context.init(keys.getKeyManagers(), null, null);
+    KeyManagerFactory keyManagers =
+        KeyManagerFactory.getInstance(KeyManagerFactory.getDefaultAlgorithm());
+    keyManagers.init(keyStore, password);
+    SSLContext context = SSLContext.getInstance(CONTEXT_PROTOCOL);
+    context.init(keyManagers.getKeyManagers(), null, null);
     return context;
   }
 
-  /** Returns the keys of a port, if it speaks TLS. */
+  /** Returns the TLS context of a port, or empty if the port serves plain HTTP. */
   public Optional<SSLContext> forPort(TlsPort port) {
     return ports.contains(port) ? context : Optional.empty();
   }
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/TlsPort.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/TlsPort.java
@@ -1,9 +1,9 @@
 package org.alderyard.daemon;
 
-/** The HTTP ports that can speak TLS. */
+/** HTTP port that can use TLS. */
 public enum TlsPort {
-  /** The port of the callers. */
+  /** Port that callers connect to. */
   CALLER,
-  /** The port of the operators. */
+  /** Port that operators connect to. */
   OPERATOR
 }
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/WriteStack.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/WriteStack.java
@@ -29,15 +29,15 @@
 import org.alderyard.proxy.write.LimiterWriteAdmission;
 import org.alderyard.proxy.write.WritePath;
 
-/** The parts of a proxy that change data: writes, their ledgers and transactions. */
+/** Components of a proxy that change data: writes, request ledgers and transactions. */
 final class WriteStack {
   private final HostState self;
   private final ViewHolder views;
   private final ServerPools pools;
   private final MonotonicClock clock;
-  private final LedgerSupport ledgerOnServers;
-  private final WritePath writes;
-  private final OwnerLedger owner;
+  private final LedgerSupport ledgerSupport;
+  private final WritePath writePath;
+  private final OwnerLedger ownerLedger;
 
   WriteStack(
       HostState self,
@@ -55,65 +55,73 @@
     this.views = views;
     this.pools = pools;
     this.clock = clock;
-    ledgerOnServers = new LedgerSupport(views, monitor);
-    writes =
+    ledgerSupport = new LedgerSupport(views, monitor);
+    writePath =
         new WritePath(
             views,
             pools,
             admin,
             new RetryBudget(RetryBudget.DEFAULT_SHARE, RetryBudget.DEFAULT_MAX_RESENDS),
             new LimiterWriteAdmission(limiters, views),
-            ledgerOnServers,
+            ledgerSupport,
             viewClient::leaseValid,
             workers,
             clock);
-    owner =
+    ownerLedger =
         new OwnerLedger(
             self.id(),
             views,
             viewClient::leaseValid,
-            writes::run,
+            writePath::run,
             (host, request, timeout) ->
                 links.to(host.innerAddress()).call(DataMethods.RUN_OWNED_WRITE, request, timeout),
             LedgerLimits.DEFAULT,
             workers,
             clock,
             wallClock);
-    viewClient.onLeaseLapsed(owner::onViewLeaseRegained);
+    viewClient.onLeaseLapsed(ownerLedger::onViewLeaseRegained);
   }
 
-  /** Makes the watchers look at once at a primary whose connections are refused or break. */
-  void feed(WatcherService watchers) {
-    writes.onPrimaryConnectionLost(watchers::requestFailed);
+  /**
+   * Makes the watchers check a primary immediately when a connection to it is refused or breaks.
+   */
+  void reportLostPrimariesTo(WatcherService watchers) {
+    writePath.onPrimaryConnectionLost(watchers::requestFailed);
   }
 
-  /** Returns the way of single writes. */
+  /** Creates the executor of writes outside transactions. */
   WriteExecutor writeExecutor() {
-    return new WriteExecutor(writes, ledgerOnServers, owner);
+    return new WriteExecutor(writePath, ledgerSupport, ownerLedger);
   }
 
-  /** Serves the writes that other proxies pass on to this one as the owner of their ids. */
+  /**
+   * Serves writes that other proxies forward to this proxy as the owner of their request ids.
+   * Writes are accepted while this proxy drains.
+   */
   void serveLedger(Dispatcher dispatcher, RequestsInFlight inFlight) {
     dispatcher.serve(
         DataMethods.RUN_OWNED_WRITE,
-        (peer, request) -> inFlight.runEvenIfDraining(() -> owner.serve(request)));
+        (peer, request) -> inFlight.runEvenIfDraining(() -> ownerLedger.serve(request)));
   }
 
-  /** Returns a holder of transactions. */
+  /** Creates the service for the transactions that this proxy holds. */
   TransactionService transactions() {
     return new TransactionService(
         self.id(),
         self.incarnation(),
-        writes,
+        writePath,
         pools,
         TransactionLimits.DEFAULT,
         new SecureRandom(),
         clock);
   }
 
-  /** Serves the transactions of a holder, for callers and for other proxies. */
+  /**
+   * Creates the transaction API for callers and serves transactions that other proxies forward to
+   * this holder, also while this proxy drains.
+   */
   TransactionApi serveTransactions(
-      TransactionService held,
+      TransactionService heldTransactions,
       PoolLookup poolLookup,
       SessionTokens tokens,
       Dispatcher dispatcher,
@@ -124,7 +132,7 @@
             self.id(),
             views,
             poolLookup,
-            held,
+            heldTransactions,
             tokens,
             (holder, request, timeout) ->
                 links
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/package-info.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The binary {@code alderyardd}: one process with the roles that its settings name.
+ * The {@code alderyardd} binary: one process that runs the roles that its settings name.
  *
- * <p>{@link org.alderyard.daemon.DaemonSettings} is what a file gives, {@link
- * org.alderyard.daemon.Daemon} puts the parts together.
+ * <p>{@link org.alderyard.daemon.DaemonSettings} holds the validated settings file; {@link
+ * org.alderyard.daemon.Daemon} assembles and starts the components.
  */
 package org.alderyard.daemon;
--- a/alderyard-daemon/src/test/java/org/alderyard/daemon/BadInputTest.java
+++ b/alderyard-daemon/src/test/java/org/alderyard/daemon/BadInputTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a client sends wrong is refused with a typed error or a closed connection. */
+/** Tests that malformed client input is refused with a typed error or a closed connection. */
 class BadInputTest {
   private static final String READ = "{\"key\":\"k\",\"kind\":\"read\",\"statement\":\"get\"}";
   private static final String TICKET =
@@ -36,7 +36,7 @@
     cluster.startHost("h1");
     cluster.startGroup("g1");
     assertThat(cluster.putTicket(0, 1, TICKET).statusCode()).isEqualTo(200);
-    cluster.statementOnceReady(0, "p", READ);
+    cluster.awaitStatement(0, "p", READ);
   }
 
   @AfterAll
@@ -60,16 +60,15 @@
           {"key":"k","kind":"read","statement":"get","freshness":{"mode":"old"}} | 400 | freshness.mode
           {"key":"k","kind":"read","statement":"steal"}              | 422 | STATEMENT_FAILED
           """)
-  void wrongBodyIsRefusedWithTheFieldAtFault(String body, int status, String text)
-      throws Exception {
-    var answer = cluster.statement(0, "p", Optional.empty(), body);
-    assertThat(answer.body()).contains(text);
-    assertThat(answer.statusCode()).isEqualTo(status);
-    assertThat(answer.body()).containsMatch("\"outcome\":\"(NOT_RUN|FAILED)\"");
+  void invalidBodyIsRefusedNamingTheField(String body, int status, String text) throws Exception {
+    var response = cluster.statement(0, "p", Optional.empty(), body);
+    assertThat(response.body()).contains(text);
+    assertThat(response.statusCode()).isEqualTo(status);
+    assertThat(response.body()).containsMatch("\"outcome\":\"(NOT_RUN|FAILED)\"");
   }
 
   @Test
-  void unknownPoolAndDamagedTokenAreNamed() throws Exception {
+  void unknownPoolAndDamagedTokenAreRefused() throws Exception {
     var unknown = cluster.statement(0, "nowhere", Optional.empty(), READ);
     assertThat(unknown.statusCode()).isEqualTo(404);
     assertThat(unknown.body()).contains("POOL_UNKNOWN");
@@ -81,26 +80,26 @@
   @Test
   void bodyOverTheLimitIsRefused() throws Exception {
     String large = "{\"key\":\"" + "x".repeat(2 << 20) + "\"}";
-    String answer = raw(head("Content-Length: " + large.length()), large);
-    assertThat(answer).contains("413");
+    String response = raw(head("Content-Length: " + large.length()), large);
+    assertThat(response).contains("413");
   }
 
   @Test
   void headersOverTheLimitCloseTheConnection() throws Exception {
-    String answer = raw(head("X-Filler: " + "x".repeat(64 << 10) + "\r\nContent-Length: 0"), "");
-    assertThat(answer).doesNotContain("200 OK");
+    String response = raw(head("X-Filler: " + "x".repeat(64 << 10) + "\r\nContent-Length: 0"), "");
+    assertThat(response).doesNotContain("200 OK");
   }
 
   @Test
-  void operatorsPortAsksForTheKey() throws Exception {
+  void operatorPortRequiresKey() throws Exception {
     InetSocketAddress port = cluster.hosts.get(0).operatorAddress().orElseThrow();
-    String answer = send(port, "GET /v1/pools HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
-    assertThat(answer).contains("401");
-    assertThat(answer).contains("UNAUTHORIZED");
+    String response = send(port, "GET /v1/pools HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
+    assertThat(response).contains("401");
+    assertThat(response).contains("UNAUTHORIZED");
   }
 
   @Test
-  void garbageOnTheInnerPortClosesTheConnectionAndHurtsNobody() throws Exception {
+  void garbageOnInnerPortClosesOnlyItsConnection() throws Exception {
     for (int attempt = 0; attempt < 20; attempt++) {
       assertThat(send(cluster.hosts.get(0).innerAddress(), "\uffff garbage " + attempt)).isEmpty();
     }
@@ -117,26 +116,26 @@
     return send(cluster.hosts.get(0).callerAddress(), head + body);
   }
 
-  /** Sends text and returns what comes back until the connection ends. */
+  /** Sends text and returns everything received until the connection ends. */
   private static String send(InetSocketAddress to, String text) throws IOException {
-    StringBuilder answer = new StringBuilder();
+    StringBuilder response = new StringBuilder();
     try (Socket socket = new Socket(to.getAddress(), to.getPort())) {
       socket.setSoTimeout(SOCKET_TIMEOUT_MILLIS);
       try {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
         socket.getOutputStream().flush();
       } catch (IOException closedWhileSending) {
-        // The other side may close before it has read all: its answer is read below.
+        // The peer may close before it has read everything; its response is read below.
       }
       byte[] buffer = new byte[4096];
       for (int n = socket.getInputStream().read(buffer);
           n > 0;
           n = socket.getInputStream().read(buffer)) {
-        answer.append(new String(buffer, 0, n, StandardCharsets.UTF_8));
+        response.append(new String(buffer, 0, n, StandardCharsets.UTF_8));
       }
     } catch (java.net.SocketException reset) {
-      // A reset ends the connection as well as a close does.
+      // A reset ends the connection, like a regular close.
     }
-    return answer.toString();
+    return response.toString();
   }
 }
--- a/alderyard-daemon/src/test/java/org/alderyard/daemon/BoundedAppenderTest.java
+++ b/alderyard-daemon/src/test/java/org/alderyard/daemon/BoundedAppenderTest.java
@@ -17,11 +17,13 @@
 import org.junit.jupiter.api.Timeout;
 
 class BoundedAppenderTest {
-  private static final int WARNINGS = 100;
-  private static final int ROUTINE = 10_000;
+  private static final int WARNING_LINES = 100;
+  private static final int ROUTINE_LINES = 10_000;
 
-  /** The pipe holds 1,024 bytes, and a line has 10 or more. */
-  private static final int IN_PIPE = 100;
+  /**
+   * Upper bound of the lines in the pipe, which holds 1,024 bytes; a line has at least 10 bytes.
+   */
+  private static final int MAX_LINES_IN_PIPE = 100;
 
   private final LoggerContext context = new LoggerContext();
   private final PipedOutputStream output = new PipedOutputStream();
@@ -42,29 +44,30 @@
 
   @Test
   @Timeout(value = 60, unit = TimeUnit.SECONDS)
-  void pipeThatNobodyReadsStopsNoThreadThatLogs() throws Exception {
-    // The program that collects the logs of a host hung. The pipe was full after some lines, and
-    // with a log that waits for its output each thread that served callers would have stood still.
+  void unreadPipeDoesNotBlockLoggingThreads() throws Exception {
+    // Nothing reads the pipe, as when a log collector hangs. An appender that blocks on its full
+    // output would stop every thread that serves callers.
     final PipedInputStream pipe = new PipedInputStream(output);
     BoundedAppender bounded = appender();
     Logger log = context.getLogger("host");
     log.addAppender(bounded);
 
-    for (int line = 0; line < ROUTINE; line++) {
+    for (int line = 0; line < ROUTINE_LINES; line++) {
       log.info("routine {}", line);
     }
-    for (int line = 0; line < WARNINGS; line++) {
+    for (int line = 0; line < WARNING_LINES; line++) {
       log.warn("refused {}", line);
     }
 
-    // What explains failures goes before the routine, and no line is missing that is not counted.
+    // Warnings take precedence over routine lines, and every missing line is counted.
     long dropped = bounded.dropped();
-    assertThat(dropped).isAtLeast(ROUTINE - 2 * BoundedAppender.MAX_WAITING - IN_PIPE);
+    assertThat(dropped)
+        .isAtLeast(ROUTINE_LINES - 2 * BoundedAppender.QUEUE_CAPACITY - MAX_LINES_IN_PIPE);
     BufferedReader reader = new BufferedReader(new InputStreamReader(pipe));
     int warnings = 0;
-    for (long line = 0; line < ROUTINE + WARNINGS - dropped; line++) {
+    for (long line = 0; line < ROUTINE_LINES + WARNING_LINES - dropped; line++) {
       warnings += reader.readLine().startsWith("WARN") ? 1 : 0;
     }
-    assertThat(warnings).isEqualTo(WARNINGS);
+    assertThat(warnings).isEqualTo(WARNING_LINES);
   }
 }
--- a/alderyard-daemon/src/test/java/org/alderyard/daemon/ConnectionLeaseSafetyTest.java
+++ b/alderyard-daemon/src/test/java/org/alderyard/daemon/ConnectionLeaseSafetyTest.java
@@ -15,49 +15,53 @@
 import org.alderyard.control.grant.ProxyId;
 import org.alderyard.proxy.lease.ConnectionLease;
 
-/** The grantor and its proxies together, over a network that loses, delays and reorders. */
+/**
+ * Tests the grant ledger with the leases of its proxies over a simulated network that loses, delays
+ * and reorders messages.
+ */
 class ConnectionLeaseSafetyTest {
   private static final GrantOptions OPTIONS = GrantOptions.DEFAULT;
   private static final int BUDGET = 35;
   private static final int PROXIES = 12;
-  private static final long STEP = TimeUnit.MILLISECONDS.toNanos(100);
+  private static final long STEP_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
   private static final int STEPS = 1_500;
 
   /**
-   * Twelve proxies ask for connections while their requests and replies are lost, late or out of
-   * order, while some fall silent and others start, clocks run 4 % fast or slow, and the leader is
-   * replaced. The server must never see more connections than it accepts.
+   * Twelve proxies request connections while requests and replies are lost, delayed or reordered,
+   * proxies stop and others start, clocks run up to 4 % fast or slow, and the leader is replaced.
+   * The open connections must never exceed the server's budget.
    */
   @Property(seed = "20261202", tries = 150)
   void openConnectionsNeverExceedTheBudget(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
-    Model model = new Model(new SplittableRandom(seed));
-    int most = 0;
+    Simulation simulation = new Simulation(new SplittableRandom(seed));
+    int maxOpen = 0;
     for (int step = 0; step < STEPS; step++) {
-      model.step();
-      assertThat(model.open()).isAtMost(BUDGET);
-      most = Math.max(most, model.open());
+      simulation.step();
+      assertThat(simulation.open()).isAtMost(BUDGET);
+      maxOpen = Math.max(maxOpen, simulation.open());
     }
-    // A grantor that grants next to nothing would be safe as well.
-    assertThat(most).isAtLeast(20);
+    // Fails for a ledger that stays within the budget by granting almost nothing.
+    assertThat(maxOpen).isAtLeast(20);
   }
 
-  private static final class Model {
+  private static final class Simulation {
     private final SplittableRandom random;
     private final List<Proxy> proxies = new ArrayList<>();
-    private final List<Message> underWay = new ArrayList<>();
+    private final List<Message> inTransit = new ArrayList<>();
     private GrantLedger ledger = new GrantLedger(OPTIONS, 0);
     private long now;
-    private int starts;
+    private int startedProxies;
 
-    Model(SplittableRandom random) {
+    Simulation(SplittableRandom random) {
       this.random = random;
       for (int i = 0; i < PROXIES; i++) {
-        proxies.add(start());
+        proxies.add(startProxy());
       }
     }
 
-    private Proxy start() {
-      return new Proxy(new ProxyId(new HostId("h" + starts), ++starts), 96 + random.nextInt(9));
+    private Proxy startProxy() {
+      return new Proxy(
+          new ProxyId(new HostId("h" + startedProxies), ++startedProxies), 96 + random.nextInt(9));
     }
 
     int open() {
@@ -65,36 +69,36 @@
     }
 
     void step() {
-      now += STEP;
+      now += STEP_NANOS;
       if (random.nextInt(400) == 0) {
         ledger = new GrantLedger(OPTIONS, now);
       }
       if (random.nextInt(100) == 0) {
-        proxies.get(random.nextInt(proxies.size())).silent = true;
-        proxies.add(start());
+        proxies.get(random.nextInt(proxies.size())).stopped = true;
+        proxies.add(startProxy());
       }
-      proxies.removeIf(proxy -> proxy.silent && proxy.open == 0);
+      proxies.removeIf(proxy -> proxy.stopped && proxy.open == 0);
       for (Proxy proxy : proxies) {
-        proxy.use(now, random);
-        if (!proxy.silent && now >= proxy.nextAskNanos && random.nextInt(4) == 0) {
-          post(proxy.ask(now, random));
+        proxy.adjustConnections(now, random);
+        if (!proxy.stopped && now >= proxy.nextRequestNanos && random.nextInt(4) == 0) {
+          send(proxy.nextRequest(now, random));
         }
       }
-      List<Message> arrived = underWay.stream().filter(m -> m.atNanos <= now).toList();
-      underWay.removeAll(arrived);
+      List<Message> arrived = inTransit.stream().filter(m -> m.arrivalNanos <= now).toList();
+      inTransit.removeAll(arrived);
       arrived.forEach(this::deliver);
     }
 
-    private void post(Message message) {
+    private void send(Message message) {
       if (random.nextInt(5) != 0) {
-        message.atNanos = now + random.nextInt(random.nextInt(10) == 0 ? 40 : 5) * STEP;
-        underWay.add(message);
+        message.arrivalNanos = now + random.nextInt(random.nextInt(10) == 0 ? 40 : 5) * STEP_NANOS;
+        inTransit.add(message);
       }
     }
 
     private void deliver(Message message) {
       if (message.reply) {
-        message.proxy.nextAskNanos = now + 5 * STEP;
+        message.proxy.nextRequestNanos = now + 5 * STEP_NANOS;
         message.proxy.lease.reply(message.sequence, message.amount, OPTIONS.lease().toNanos());
         return;
       }
@@ -107,7 +111,7 @@
               message.amount,
               message.wanted,
               now);
-      post(new Message(message.proxy, true, message.sequence, granted, 0));
+      send(new Message(message.proxy, true, message.sequence, granted, 0));
     }
   }
 
@@ -116,35 +120,38 @@
     final int clockPercent;
     final ConnectionLease lease = new ConnectionLease();
     long sequence;
-    long nextAskNanos;
+    long nextRequestNanos;
     int open;
-    boolean silent;
+    boolean stopped;
 
     Proxy(ProxyId id, int clockPercent) {
       this.id = id;
       this.clockPercent = clockPercent;
     }
 
-    long clock(long now) {
+    long localNanos(long now) {
       return now / 100 * clockPercent;
     }
 
-    /** Opens up to what is allowed; closes what is not by and by, and all when the lease ended. */
-    void use(long now, SplittableRandom random) {
-      int allowed = lease.allowed(clock(now));
+    /**
+     * Opens connections up to the allowed number, closes excess connections gradually, and closes
+     * all when the lease has expired.
+     */
+    void adjustConnections(long now, SplittableRandom random) {
+      int allowed = lease.allowed(localNanos(now));
       if (allowed == 0) {
         open = 0;
       } else if (open > allowed) {
         open -= random.nextInt(2);
-      } else if (!silent) {
+      } else if (!stopped) {
         open += random.nextInt(allowed - open + 1);
       }
     }
 
-    Message ask(long now, SplittableRandom random) {
+    Message nextRequest(long now, SplittableRandom random) {
       sequence++;
-      nextAskNanos = now + 10 * STEP;
-      int held = lease.request(sequence, open, clock(now));
+      nextRequestNanos = now + 10 * STEP_NANOS;
+      int held = lease.request(sequence, open, localNanos(now));
       return new Message(this, false, sequence, held, random.nextInt(30));
     }
   }
@@ -155,7 +162,7 @@
     final long sequence;
     final int amount;
     final int wanted;
-    long atNanos;
+    long arrivalNanos;
 
     Message(Proxy proxy, boolean reply, long sequence, int amount, int wanted) {
       this.proxy = proxy;
--- a/alderyard-daemon/src/test/java/org/alderyard/daemon/DaemonSettingsTest.java
+++ b/alderyard-daemon/src/test/java/org/alderyard/daemon/DaemonSettingsTest.java
@@ -14,15 +14,17 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Every fault of a settings file is refused with its place, its value and what is accepted. */
+/**
+ * Tests that invalid settings are refused with their location, the value and the accepted values.
+ */
 class DaemonSettingsTest {
   @TempDir Path folder;
-  private String good;
+  private String validSettings;
 
   @BeforeEach
   void writeKeys() throws IOException {
     Files.writeString(folder.resolve("cluster.key"), "0123456789abcdef-secret\n");
-    good =
+    validSettings =
         """
         [host]
         id = entry-1
@@ -40,8 +42,8 @@
   }
 
   @Test
-  void goodFileIsReadWithPresets() throws IOException {
-    DaemonSettings settings = read(good);
+  void validFileIsReadWithDefaults() throws IOException {
+    DaemonSettings settings = read(validSettings);
     assertThat(settings.host().value()).isEqualTo("entry-1");
     assertThat(settings.roles()).containsExactly(Role.PROXY);
     assertThat(settings.controlHosts()).hasSize(2);
@@ -68,10 +70,11 @@
           [tls]\\nkeystore-file = k.p12          | [tls] keystore-file needs it
           [log]\\nformat = xml                   | one of text, json
           """)
-  void faultIsNamedWithItsPlaceAndWhatIsAccepted(String addition, String message) {
+  void errorNamesLocationAndAcceptedValues(String addition, String message) {
     SettingsException refused =
         assertThrows(
-            SettingsException.class, () -> read(good + addition.replace("\\n", "\n") + "\n"));
+            SettingsException.class,
+            () -> read(validSettings + addition.replace("\\n", "\n") + "\n"));
     assertThat(refused).hasMessageThat().contains(message);
     assertThat(refused).hasMessageThat().contains("test.ini");
   }
@@ -80,33 +83,33 @@
   @ValueSource(strings = {"id = entry-1", "inner-address = 127.0.0.1:7001"})
   void missingKeyIsNamed(String line) {
     SettingsException refused =
-        assertThrows(SettingsException.class, () -> read(good.replace(line, "")));
+        assertThrows(SettingsException.class, () -> read(validSettings.replace(line, "")));
     assertThat(refused).hasMessageThat().contains("the key is missing");
   }
 
   @Test
-  void secretNeverShowsInMessagesOrText() throws IOException {
+  void secretsNeverAppearInMessagesOrToString() throws IOException {
     Files.writeString(folder.resolve("operator.key"), "the-key-of-operators");
-    String withOperators = good + "operator-key-file = " + folder.resolve("operator.key");
+    String withOperators = validSettings + "operator-key-file = " + folder.resolve("operator.key");
     assertThat(read(withOperators).operatorKey()).isPresent();
     assertThat(read(withOperators).toString()).doesNotContain("0123456789abcdef");
     assertThat(read(withOperators).toString()).doesNotContain("the-key-of-operators");
     Files.writeString(folder.resolve("cluster.key"), "short-secret");
-    SettingsException refused = assertThrows(SettingsException.class, () -> read(good));
+    SettingsException refused = assertThrows(SettingsException.class, () -> read(validSettings));
     assertThat(refused).hasMessageThat().contains("the secret has 12 bytes");
     assertThat(refused).hasMessageThat().doesNotContain("short-secret");
   }
 
   @Test
-  void controlHostMustBeInTheListAndHaveItsFolder() {
-    String control = good.replace("zone =", "roles = control,proxy\nzone =");
-    String elsewhere =
+  void controlHostMustBeListedAndHaveDataFolder() {
+    String control = validSettings.replace("zone =", "roles = control,proxy\nzone =");
+    String unlistedAddress =
         control.replace("inner-address = 127.0.0.1:7001", "inner-address = 127.0.0.1:9");
-    assertThat(assertThrows(SettingsException.class, () -> read(elsewhere)))
+    assertThat(assertThrows(SettingsException.class, () -> read(unlistedAddress)))
         .hasMessageThat()
         .contains("is not in the list");
-    String noFolder = control.replace("[control]", "[control]\ndata-folder = /no/such/folder");
-    assertThat(assertThrows(SettingsException.class, () -> read(noFolder)))
+    String missingFolder = control.replace("[control]", "[control]\ndata-folder = /no/such/folder");
+    assertThat(assertThrows(SettingsException.class, () -> read(missingFolder)))
         .hasMessageThat()
         .contains("is not a folder that can be read and written");
   }
--- a/alderyard-daemon/src/test/java/org/alderyard/daemon/DrainTest.java
+++ b/alderyard-daemon/src/test/java/org/alderyard/daemon/DrainTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A host that shuts down cuts nothing off, over real sockets. */
+/** Tests that a host that shuts down interrupts no open transaction. */
 class DrainTest {
   private static final String TICKET =
       """
@@ -29,27 +29,27 @@
   @TempDir Path folder;
 
   /**
-   * An operator restarts a proxy while a packer's transaction is open on it. An order that comes
-   * meanwhile is told that it did not run, and runs through the other proxy; the packer goes on and
-   * commits, and only then does the proxy end.
+   * A proxy shuts down while a transaction is open on it. New writes must be refused as not run and
+   * succeed through the other proxy; the transaction must continue and commit before the proxy
+   * stops.
    */
   @Test
-  void shutdownWaitsForOpenTransactionAndRefusesNewOrders() throws Exception {
+  void shutdownWaitsForOpenTransactionAndRefusesNewStatements() throws Exception {
     try (TestCluster cluster = new TestCluster(folder)) {
       cluster.startHost("h1");
       cluster.startHost("h2");
       cluster.startGroup("g1");
       assertThat(cluster.putTicket(0, 1, TICKET).statusCode()).isEqualTo(200);
-      cluster.statementOnceReady(0, "orders", ORDER);
-      cluster.statementOnceReady(1, "orders", ORDER);
+      cluster.awaitStatement(0, "orders", ORDER);
+      cluster.awaitStatement(1, "orders", ORDER);
       String begun = cluster.post(1, TRANSACTIONS, Optional.empty(), ORDER).body();
       String id = Json.parseObject(begun.getBytes()).path("transactionId").asText();
 
       CompletableFuture<Void> closed = CompletableFuture.runAsync(() -> cluster.stopHost(1));
-      HttpResponse<String> refused = untilRefused(cluster);
+      HttpResponse<String> refused = sendUntilRefused(cluster);
       HttpResponse<String> elsewhere = cluster.statement(0, "orders", Optional.empty(), ORDER);
       boolean endedEarly = closed.isDone();
-      HttpResponse<String> line =
+      HttpResponse<String> statement =
           cluster.post(1, TRANSACTIONS + "/" + id + "/statements", Optional.empty(), ORDER);
       HttpResponse<String> commit =
           cluster.post(1, TRANSACTIONS + "/" + id + "/commit", Optional.empty(), "");
@@ -59,19 +59,19 @@
       assertThat(refused.body()).contains("retryAfterMillis");
       assertThat(elsewhere.statusCode()).isEqualTo(200);
       assertThat(endedEarly).isFalse();
-      assertThat(line.statusCode()).isEqualTo(200);
+      assertThat(statement.statusCode()).isEqualTo(200);
       assertThat(commit.body()).contains("\"committed\":true");
       closed.join();
     }
   }
 
-  private static HttpResponse<String> untilRefused(TestCluster cluster) throws Exception {
+  private static HttpResponse<String> sendUntilRefused(TestCluster cluster) throws Exception {
     for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
       HttpResponse<String> answer = cluster.statement(1, "orders", Optional.empty(), ORDER);
       if (answer.statusCode() != 200) {
         return answer;
       }
     }
-    throw new AssertionError("the host takes new orders while it shuts down");
+    throw new AssertionError("the host accepts new statements while it shuts down");
   }
 }
--- a/alderyard-daemon/src/test/java/org/alderyard/daemon/WholePathTest.java
+++ b/alderyard-daemon/src/test/java/org/alderyard/daemon/EndToEndTest.java
@@ -7,8 +7,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** One request from end to end: ticket, announcement, write on one proxy, read on another. */
-class WholePathTest {
+/**
+ * Tests the path from ticket and announcement to a write through one proxy and a read through
+ * another.
+ */
+class EndToEndTest {
   private static final String TICKET =
       """
       {"objects":[
@@ -21,8 +24,9 @@
   @TempDir Path folder;
 
   /**
-   * A coordinator moves a room through one proxy and reloads the page through another one. The
-   * replicas show the change only after 300 ms, so the page must come from the primary or wait.
+   * Replicas apply a write only after 300 ms. A read with the session token of the write must
+   * return the written value through another proxy, from the primary or from a replica that has
+   * caught up.
    */
   @Test
   void callerReadsItsOwnWriteThroughAnotherProxy() throws Exception {
@@ -31,13 +35,13 @@
       cluster.startHost("h2");
       cluster.startGroup("g1");
       assertThat(cluster.putTicket(1, 1, TICKET).statusCode()).isEqualTo(200);
-      cluster.statementOnceReady(0, "listings-db", write("Old Hall"));
+      cluster.awaitStatement(0, "listings-db", write("Old Hall"));
       for (var server : cluster.servers) {
         server.switches().set(lag(300));
       }
 
-      for (int move = 0; move < 5; move++) {
-        String room = "Room " + move;
+      for (int round = 0; round < 5; round++) {
+        String room = "Room " + round;
         var written = cluster.statement(0, "listings-db", Optional.empty(), write(room));
         assertThat(written.statusCode()).isEqualTo(200);
         Optional<String> token = written.headers().firstValue("Alderyard-Session");
--- a/alderyard-daemon/src/test/java/org/alderyard/daemon/ExactlyOnceTest.java
+++ b/alderyard-daemon/src/test/java/org/alderyard/daemon/ExactlyOnceTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** An order that is sent through two proxies runs once, with either ledger, over real sockets. */
+/**
+ * Tests that a write sent through two proxies runs once, with the ledger of the servers and with
+ * that of the proxies.
+ */
 class ExactlyOnceTest {
   private static final String TICKET =
       """
@@ -21,54 +24,56 @@
         {"kind":"keys","keys":[{"id":1,"secretBase64":"MDEyMzQ1Njc4OWFiY2RlZg=="}]}]}
       """;
   private static final int ATTEMPTS = 300;
-  private static final long PAUSE_MILLIS = 50;
+  private static final long RETRY_DELAY_MILLIS = 50;
 
   @TempDir Path folder;
 
   /**
-   * Every second answer of the servers is lost with its connection. Each order is sent through both
-   * proxies; the servers' ledger answers what ran already, so no order stands in the list twice.
+   * Every second response of the servers is lost together with its connection, and each write is
+   * sent through both proxies. The ledger of the servers must return the stored outcome, so that no
+   * value is appended twice.
    */
   @Test
-  void serverLedgerAnswersLostAnswers() throws Exception {
+  void serverLedgerAnswersResendAfterLostResponse() throws Exception {
     try (TestCluster cluster = start(true)) {
-      cluster.statementOnceReady(0, "orders", order("warm", "warm-up"));
-      cluster.statementOnceReady(1, "orders", order("warm", "warm-up"));
-      cluster.servers.forEach(server -> server.switches().set(dropEverySecondAnswer()));
+      cluster.awaitStatement(0, "orders", order("warm", "warm-up"));
+      cluster.awaitStatement(1, "orders", order("warm", "warm-up"));
+      cluster.servers.forEach(server -> server.switches().set(dropEverySecondResponse()));
 
       for (int number = 1; number <= 10; number++) {
         String order = order("order-" + number, "kit-" + number);
-        untilAnswered(cluster, 0, order);
-        untilAnswered(cluster, 1, order);
+        sendUntilSuccess(cluster, 0, order);
+        sendUntilSuccess(cluster, 1, order);
       }
 
       cluster.servers.forEach(
           server -> server.switches().set(Json.object().put("dropEveryNth", 0)));
-      // The warm-up and ten orders: an eleventh order is entry twelve.
-      HttpResponse<String> last = untilAnswered(cluster, 0, order("order-11", "kit-11"));
-      assertThat(last.body()).contains("\"result\":12,");
+      // The warm-up and ten writes precede this one, so its result is 12.
+      HttpResponse<String> lastResponse = sendUntilSuccess(cluster, 0, order("order-11", "kit-11"));
+      assertThat(lastResponse.body()).contains("\"result\":12,");
     }
   }
 
   /**
-   * The servers keep no ledger. An order goes through one proxy and again through the other one;
-   * the proxy that owns its id has run it, and gives the first answer.
+   * The servers keep no ledger. A write resent through the other proxy must receive the first
+   * outcome from the proxy that owns its request id.
    */
   @Test
   void ownerOfIdAnswersResendThroughOtherProxy() throws Exception {
     try (TestCluster cluster = start(false)) {
-      cluster.statementOnceReady(0, "orders", order("warm", "warm-up").replace("requestId", "x"));
-      String id = firstAdmitted(cluster);
+      cluster.awaitStatement(0, "orders", order("warm", "warm-up").replace("requestId", "x"));
+      String order = firstAdmitted(cluster);
 
-      HttpResponse<String> again = cluster.statement(1, "orders", Optional.empty(), id);
-      HttpResponse<String> once = cluster.statement(0, "orders", Optional.empty(), id);
-      HttpResponse<String> other =
-          cluster.statement(1, "orders", Optional.empty(), id.replace("kit", "other"));
+      HttpResponse<String> resentElsewhere =
+          cluster.statement(1, "orders", Optional.empty(), order);
+      HttpResponse<String> resent = cluster.statement(0, "orders", Optional.empty(), order);
+      HttpResponse<String> conflicting =
+          cluster.statement(1, "orders", Optional.empty(), order.replace("kit", "other"));
 
-      assertThat(again.body()).contains("\"result\":2,");
-      assertThat(once.body()).contains("\"result\":2,");
-      assertThat(other.statusCode()).isEqualTo(409);
-      assertThat(other.body()).contains("REQUEST_ID_REUSED");
+      assertThat(resentElsewhere.body()).contains("\"result\":2,");
+      assertThat(resent.body()).contains("\"result\":2,");
+      assertThat(conflicting.statusCode()).isEqualTo(409);
+      assertThat(conflicting.body()).contains("REQUEST_ID_REUSED");
     }
   }
 
@@ -81,28 +86,31 @@
     return cluster;
   }
 
-  /** Sends new orders until one is admitted: right after their start, proxies refuse old ids. */
+  /**
+   * Sends writes with new ids until one is admitted. Proxies that have just started refuse older
+   * ids.
+   */
   private static String firstAdmitted(TestCluster cluster) throws Exception {
     for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
       String order = order("order-" + attempt, "kit");
       if (cluster.statement(0, "orders", Optional.empty(), order).statusCode() == 200) {
         return order;
       }
-      Thread.sleep(PAUSE_MILLIS);
+      Thread.sleep(RETRY_DELAY_MILLIS);
     }
     throw new AssertionError("no order was admitted");
   }
 
-  private static HttpResponse<String> untilAnswered(TestCluster cluster, int host, String order)
+  private static HttpResponse<String> sendUntilSuccess(TestCluster cluster, int host, String order)
       throws Exception {
-    HttpResponse<String> last = null;
+    HttpResponse<String> lastResponse = null;
     for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
-      last = cluster.statement(host, "orders", Optional.empty(), order);
-      if (last.statusCode() == 200) {
-        return last;
+      lastResponse = cluster.statement(host, "orders", Optional.empty(), order);
+      if (lastResponse.statusCode() == 200) {
+        return lastResponse;
       }
     }
-    throw new AssertionError("no answer: " + last.body());
+    throw new AssertionError("no response with status 200: " + lastResponse.body());
   }
 
   private static String order(String id, String value) {
@@ -116,7 +124,7 @@
         .toString();
   }
 
-  private static com.fasterxml.jackson.databind.JsonNode dropEverySecondAnswer() {
+  private static com.fasterxml.jackson.databind.JsonNode dropEverySecondResponse() {
     return Json.object().put("dropEveryNth", 2);
   }
 }
--- a/alderyard-daemon/src/test/java/org/alderyard/daemon/ExamplesTest.java
+++ b/alderyard-daemon/src/test/java/org/alderyard/daemon/ExamplesTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The shipped examples of both users are valid as they stand, once the keys are there. */
+/** Tests that the shipped example settings and tickets are valid once the key files exist. */
 class ExamplesTest {
   private static final Path EXAMPLES = Path.of("..", "examples");
   private static final int ENTRY_HOSTS = 10;
--- a/alderyard-daemon/src/test/java/org/alderyard/daemon/FailoverTest.java
+++ b/alderyard-daemon/src/test/java/org/alderyard/daemon/FailoverTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A primary fails and comes back, seen by a caller who knows only a proxy. */
+/** Tests failover of a primary as seen by a caller of the proxies. */
 class FailoverTest {
   private static final String POOL = "orders-db";
   private static final String TICKET =
@@ -38,46 +38,47 @@
   private TestCluster cluster;
 
   /**
-   * The packing floor closes an order while the primary's process dies. The next order must go
-   * through without anyone's help, and the one before it must still be there.
+   * The primary stops. Later writes must succeed in the next term on another server, and the
+   * acknowledged write must be preserved.
    */
   @Test
-  void writesGoOnAfterPrimaryDiedAndKeepWhatWasAcknowledged() throws Exception {
+  void acknowledgedWritesSurviveFailureOfPrimary() throws Exception {
     try (TestCluster started = start()) {
       cluster = started;
-      var before = cluster.statementOnceReady(0, POOL, write("kept"));
+      var before = cluster.awaitStatement(0, POOL, write("kept"));
       started.servers.get(0).close();
-      var read = cluster.statementOnceReady(1, POOL, readOnPrimary());
+      var read = cluster.awaitStatement(1, POOL, readOnPrimary());
       assertThat(read.body()).contains("\"result\":\"kept\"");
-      var after = cluster.statementOnceReady(1, POOL, write("next"));
+      var after = cluster.awaitStatement(1, POOL, write("next"));
       assertThat(term(after)).isEqualTo(term(before) + 1);
       assertThat(after.body()).doesNotContain("\"server\":\"g1-1\"");
     }
   }
 
   /**
-   * The primary is cut off with a write that nobody else holds, is replaced, and returns. Its tail
-   * must never be read again; it must become a replica of the new term by itself.
+   * The primary becomes unreachable while it holds a write that no replica has, and is replaced.
+   * After its return, the write must never be read, and the server must become a replica of the new
+   * term.
    */
   @Test
-  void returningPrimaryDropsItsTailAndFollows() throws Exception {
+  void returningPrimaryDiscardsUnreplicatedWriteAndBecomesReplica() throws Exception {
     try (TestCluster started = start()) {
       cluster = started;
-      cluster.statementOnceReady(0, POOL, write("kept"));
+      cluster.awaitStatement(0, POOL, write("kept"));
       started.servers.get(1).switches().set(unreachable(true));
       started.servers.get(2).switches().set(unreachable(true));
-      // A replica's fetch that is under way would still carry the tail: let it end.
+      // Waits out a fetch already in progress, with which a replica would still copy the write.
       Thread.sleep(FETCH_MILLIS);
-      var lost = cluster.statement(0, POOL, Optional.empty(), shortWrite("tail"));
-      assertThat(lost.body()).contains("OUTCOME_UNKNOWN");
+      var unacknowledged = cluster.statement(0, POOL, Optional.empty(), shortDeadlineWrite("tail"));
+      assertThat(unacknowledged.body()).contains("OUTCOME_UNKNOWN");
       started.servers.get(0).switches().set(unreachable(true));
       started.servers.get(1).switches().set(unreachable(false));
       started.servers.get(2).switches().set(unreachable(false));
-      var after = cluster.statementOnceReady(1, POOL, write("next"));
+      var after = cluster.awaitStatement(1, POOL, write("next"));
       started.servers.get(0).switches().set(unreachable(false));
 
-      ServerReport old = awaitRole(started.servers.get(0), ServerRole.REPLICA);
-      assertThat(old.term()).isAtLeast(term(after));
+      ServerReport formerPrimary = awaitRole(started.servers.get(0), ServerRole.REPLICA);
+      assertThat(formerPrimary.term()).isAtLeast(term(after));
       for (int i = 0; i < 20; i++) {
         var read = cluster.statement(i % 2, POOL, Optional.empty(), READ);
         assertThat(read.body()).doesNotContain("tail");
@@ -85,24 +86,27 @@
     }
   }
 
-  /** The same primary fails twice in a row; the second time, the group fails over again. */
+  /**
+   * The primary becomes unreachable and returns, then its successor becomes unreachable. The group
+   * must fail over both times.
+   */
   @Test
-  void sameFaultTwiceIsMendedTwice() throws Exception {
+  void groupFailsOverTwice() throws Exception {
     try (TestCluster started = start()) {
       cluster = started;
-      final var first = cluster.statementOnceReady(0, POOL, write("one"));
-      StandInServer one = started.servers.get(0);
-      one.switches().set(unreachable(true));
-      var second = cluster.statementOnceReady(1, POOL, write("two"));
-      one.switches().set(unreachable(false));
-      awaitRole(one, ServerRole.REPLICA);
-      StandInServer next = started.servers.get(serverOf(second) - 1);
-      next.switches().set(unreachable(true));
-      var third = cluster.statementOnceReady(0, POOL, write("three"));
+      final var first = cluster.awaitStatement(0, POOL, write("one"));
+      StandInServer initialPrimary = started.servers.get(0);
+      initialPrimary.switches().set(unreachable(true));
+      var second = cluster.awaitStatement(1, POOL, write("two"));
+      initialPrimary.switches().set(unreachable(false));
+      awaitRole(initialPrimary, ServerRole.REPLICA);
+      StandInServer successor = started.servers.get(serverOf(second) - 1);
+      successor.switches().set(unreachable(true));
+      var third = cluster.awaitStatement(0, POOL, write("three"));
       assertThat(term(third)).isGreaterThan(term(second));
       assertThat(term(second)).isGreaterThan(term(first));
-      next.switches().set(unreachable(false));
-      assertThat(cluster.statementOnceReady(1, POOL, readOnPrimary()).body()).contains("three");
+      successor.switches().set(unreachable(false));
+      assertThat(cluster.awaitStatement(1, POOL, readOnPrimary()).body()).contains("three");
     }
   }
 
@@ -117,18 +121,18 @@
   }
 
   private ServerReport awaitRole(StandInServer server, ServerRole role) throws Exception {
-    ServerReport last = null;
+    ServerReport lastReport = null;
     for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
       URI uri = URI.create("http://127.0.0.1:" + server.address().getPort() + BackendPaths.STATE);
       var answer =
           http.send(HttpRequest.newBuilder(uri).build(), HttpResponse.BodyHandlers.ofByteArray());
-      last = BackendJson.report(BackendJson.parse(answer.body()));
-      if (last.role() == role) {
-        return last;
+      lastReport = BackendJson.report(BackendJson.parse(answer.body()));
+      if (lastReport.role() == role) {
+        return lastReport;
       }
       Thread.sleep(20);
     }
-    throw new AssertionError("not " + role + ": " + last);
+    throw new AssertionError("not " + role + ": " + lastReport);
   }
 
   private static long term(HttpResponse<String> answer) throws Exception {
@@ -151,7 +155,7 @@
     return statement(value, 5_000);
   }
 
-  private static String shortWrite(String value) {
+  private static String shortDeadlineWrite(String value) {
     return statement(value, 300);
   }
 
--- a/alderyard-daemon/src/test/java/org/alderyard/daemon/GracefulShutdownTest.java
+++ b/alderyard-daemon/src/test/java/org/alderyard/daemon/GracefulShutdownTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A proxy that is asked to end cuts no request. */
+/** Tests that shutdown of a proxy cuts off no request. */
 class GracefulShutdownTest {
   private static final String TICKET =
       """
@@ -28,45 +28,47 @@
   @TempDir Path folder;
 
   /**
-   * Callers send one request after the other on kept connections while the proxy ends. Each of four
-   * of them once got no answer: its request left at the moment when the idle connection was closed.
-   * Told to close while the port was open, they connected here anew at once, and the connection
-   * that was on its way when the port closed was reset. Now the port closes first, and then each
-   * caller is told to close the connection that it kept.
+   * Callers send requests on keep-alive connections while the proxy shuts down.
+   *
+   * <p>Closing idle connections while the port was open lost requests that were just being sent.
+   * When responses announced the close before the port closed, callers reconnected immediately, and
+   * the connection pending at the close of the port was reset. The port must therefore close first,
+   * and each remaining connection ends with its next response.
    */
   @Test
-  void keptConnectionsAreToldToEndBeforeThePortCloses() throws Exception {
+  void shutdownCutsOffNoRequestOnKeepAliveConnections() throws Exception {
     try (TestCluster cluster = new TestCluster(folder)) {
       cluster.startHost("h1");
       cluster.startGroup("g1");
       assertThat(cluster.putTicket(0, 1, TICKET).statusCode()).isEqualTo(200);
-      cluster.statementOnceReady(0, "p", READ);
+      cluster.awaitStatement(0, "p", READ);
 
-      AtomicInteger answered = new AtomicInteger();
-      AtomicInteger cut = new AtomicInteger();
+      AtomicInteger responses = new AtomicInteger();
+      AtomicInteger lostRequests = new AtomicInteger();
       List<CompletableFuture<Void>> callers = new ArrayList<>();
       for (int caller = 0; caller < CALLERS; caller++) {
-        callers.add(CompletableFuture.runAsync(() -> callUntilClosed(cluster, answered, cut)));
+        callers.add(
+            CompletableFuture.runAsync(() -> callUntilClosed(cluster, responses, lostRequests)));
       }
-      while (answered.get() < 20 * CALLERS) {
+      while (responses.get() < 20 * CALLERS) {
         Thread.onSpinWait();
       }
       cluster.stopHost(0);
       callers.forEach(CompletableFuture::join);
-      assertThat(cut.get()).isEqualTo(0);
+      assertThat(lostRequests.get()).isEqualTo(0);
     }
   }
 
   private static void callUntilClosed(
-      TestCluster cluster, AtomicInteger answered, AtomicInteger cut) {
+      TestCluster cluster, AtomicInteger responses, AtomicInteger lostRequests) {
     while (true) {
       try {
         cluster.statement(0, "p", Optional.empty(), READ);
-        answered.incrementAndGet();
+        responses.incrementAndGet();
       } catch (ConnectException closed) {
         return;
       } catch (IOException lost) {
-        cut.incrementAndGet();
+        lostRequests.incrementAndGet();
         return;
       } catch (Exception failure) {
         throw new AssertionError(failure);
--- a/alderyard-daemon/src/test/java/org/alderyard/daemon/OperatorTest.java
+++ b/alderyard-daemon/src/test/java/org/alderyard/daemon/OperatorTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What operators ask of the system and get from it, through any host. */
+/** Operator requests through any host of the cluster. */
 class OperatorTest {
   private static final String TICKET =
       """
@@ -27,19 +27,19 @@
   }
 
   /**
-   * An operator sends ticket 7 through one host and, unsure of the answer, again through another;
-   * the order of objects and a preset spelled out are no other content. A colleague uses the same
-   * number for something else. Hosts that join and leave show in "in force on N of M".
+   * Sends a ticket through one host and again through another host, with its objects reordered and
+   * a default written out; both must count as the same content. Other content under the same number
+   * is a conflict. The "in force on N of M" count follows hosts that join and leave.
    */
   @Test
-  void ticketIsTheSameThroughEveryHostAndShowsWhereItIsInForce() throws Exception {
+  void resentTicketIsIdempotentAndReportsHostsInForce() throws Exception {
     try (TestCluster cluster = new TestCluster(folder)) {
       cluster.startHost("h1");
       cluster.startHost("h2");
       cluster.startHost("h3");
       HttpResponse<String> first = cluster.putTicket(1, 7, TICKET);
       assertThat(first.statusCode()).isEqualTo(200);
-      HttpResponse<String> again =
+      HttpResponse<String> resent =
           cluster.putTicket(
               2,
               7,
@@ -47,26 +47,27 @@
               {"objects":[{"kind":"pool","name":"p","groups":["g1"],"maxStalenessMillis":5000},
                           {"kind":"group","id":"g1","slotsPerServer":2}]}
               """);
-      assertThat(json(again).path("acceptedVersion"))
+      assertThat(json(resent).path("acceptedVersion"))
           .isEqualTo(json(first).path("acceptedVersion"));
 
-      var other = cluster.putTicket(0, 7, "{\"objects\":[{\"kind\":\"group\",\"id\":\"g1\"}]}");
-      assertThat(other.statusCode()).isEqualTo(409);
-      assertThat(json(other).at("/error/code").asText()).isEqualTo("TICKET_CONFLICT");
-      assertThat(other.body()).contains(json(first).path("contentHash").asText());
+      var conflicting =
+          cluster.putTicket(0, 7, "{\"objects\":[{\"kind\":\"group\",\"id\":\"g1\"}]}");
+      assertThat(conflicting.statusCode()).isEqualTo(409);
+      assertThat(json(conflicting).at("/error/code").asText()).isEqualTo("TICKET_CONFLICT");
+      assertThat(conflicting.body()).contains(json(first).path("contentHash").asText());
 
       cluster.awaitOperator(2, "/v1/tickets/7", "in force on 3 of 3");
       cluster.awaitOperator(0, "/v1/tickets", "\"number\":7");
       cluster.awaitOperator(1, "/v1/status", "\"hostsCurrent\":3");
       cluster.awaitOperator(1, "/v1/pools", "\"name\":\"p\"");
       assertThat(cluster.operator(0, "GET", "/v1/tickets/8", "").statusCode()).isEqualTo(404);
-      cluster.stopLast();
+      cluster.closeLastStarted();
       cluster.awaitOperator(0, "/v1/tickets/7", "in force on 2 of 2");
     }
   }
 
   @Test
-  void everyFaultOfTicketIsTypedAndToldAtOnce() throws Exception {
+  void refusalListsEveryFaultOfTicket() throws Exception {
     try (TestCluster cluster = new TestCluster(folder)) {
       cluster.startHost("h1");
       String body =
@@ -83,11 +84,14 @@
       assertThat(refused.statusCode()).isEqualTo(422);
       assertThat(json(refused).at("/error/code").asText()).isEqualTo("TICKET_INVALID");
       assertThat(json(refused).at("/error/outcome").asText()).isEqualTo("NOT_RUN");
-      List<String> places = new ArrayList<>();
+      List<String> faultLocations = new ArrayList<>();
       json(refused)
           .at("/error/faults")
-          .forEach(f -> places.add(f.path("object").asText() + " " + f.path("field").asText()));
-      assertThat(places)
+          .forEach(
+              fault ->
+                  faultLocations.add(
+                      fault.path("object").asText() + " " + fault.path("field").asText()));
+      assertThat(faultLocations)
           .containsExactly(
               "ticket comment",
               "group/g1 colour",
@@ -101,9 +105,12 @@
     }
   }
 
-  /** An operator drains a host by name: the balancer sees it, and only that host is affected. */
+  /**
+   * A drain requested through one host makes only the named host not ready, until the drain is
+   * ended.
+   */
   @Test
-  void drainedHostIsNotReadyUntilOperatorEndsTheDrain() throws Exception {
+  void drainedHostIsNotReadyUntilDrainEnds() throws Exception {
     try (TestCluster cluster = new TestCluster(folder)) {
       cluster.startHost("h1");
       cluster.startHost("h2");
@@ -121,9 +128,9 @@
     }
   }
 
-  /** A host restarts after hundreds of changes have passed it by: it runs the newest at once. */
+  /** A host that starts after hundreds of changes receives the newest view directly. */
   @Test
-  void hostThatStartsAfterHundredsOfChangesRunsTheNewestView() throws Exception {
+  void lateHostReceivesNewestView() throws Exception {
     try (TestCluster cluster = new TestCluster(folder)) {
       cluster.startHost("h1");
       cluster.startHost("h2");
@@ -133,7 +140,7 @@
                 .formatted(1 + number % 30);
         assertThat(cluster.putTicket(0, number, body).statusCode()).isEqualTo(200);
       }
-      cluster.stopLast();
+      cluster.closeLastStarted();
       cluster.startHost("h3");
       cluster.awaitOperator(2, "/v1/groups", "\"slotsPerServer\":1,");
       cluster.awaitOperator(2, "/v1/tickets/300", "in force on 2 of 2");
--- a/alderyard-daemon/src/test/java/org/alderyard/daemon/ReadsOverProxiesTest.java
+++ b/alderyard-daemon/src/test/java/org/alderyard/daemon/ReadsOverProxiesTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Reads of running daemons over stand-in servers. */
+/** Tests reads through running daemons against stand-in backend servers. */
 class ReadsOverProxiesTest {
   private static final String POOL = "listings-db";
   private static final String TICKET =
@@ -23,20 +23,20 @@
   @TempDir Path folder;
 
   /**
-   * Replicas lag by 100 ms. A coordinator's read right after the write waits for a replica, within
-   * the budget of 10 s of this host, and the primary is left alone. Two tabs of the same page send
-   * both their tokens; a token with one changed character is refused by type.
+   * Replicas lag by 100 ms. A read after a write must wait for a replica within this host's budget
+   * of 10 s instead of using the primary. Two session tokens in one request are merged, and a token
+   * with one changed character is refused.
    */
   @Test
-  void readAfterWriteWaitsForReplicaAndTokensMerge() throws Exception {
+  void readAfterWriteWaitsForReplicaAndMergesTokens() throws Exception {
     try (TestCluster cluster = new TestCluster(folder)) {
       cluster.startHost("h1");
       cluster.startHost("h2", "read-wait-budget = 10s");
       cluster.startGroup("g1");
       assertThat(cluster.putTicket(1, 1, TICKET).statusCode()).isEqualTo(200);
-      cluster.statementOnceReady(0, POOL, write("talk", "start"));
-      // Not before the second proxy has measured the group.
-      cluster.statementUntil(1, POOL, bounded("talk", 60_000), "\"role\":\"replica\"");
+      cluster.awaitStatement(0, POOL, write("talk", "start"));
+      // Waits until the second proxy has measured the positions of the group.
+      cluster.awaitStatementResult(1, POOL, bounded("talk", 60_000), "\"role\":\"replica\"");
       for (var server : cluster.servers) {
         server.switches().set(Json.object().put("applyLagMillis", 100));
       }
@@ -59,19 +59,19 @@
   }
 
   /**
-   * A student browses with at most 60 s of age, then with none. The first is answered by a replica
-   * that says how old its data may be; for the second only the primary is left.
+   * A read that accepts an age of 60 s is served by a replica and reports the bound of its age; a
+   * read that accepts no age is served by the primary.
    */
   @Test
-  void boundedReadNamesItsAge() throws Exception {
+  void boundedReadReportsAgeBound() throws Exception {
     try (TestCluster cluster = new TestCluster(folder)) {
       cluster.startHost("h1");
       cluster.startGroup("g1");
       assertThat(cluster.putTicket(0, 1, TICKET).statusCode()).isEqualTo(200);
-      cluster.statementOnceReady(0, POOL, write("talk", "start"));
-      HttpResponse<String> old =
-          cluster.statementUntil(0, POOL, bounded("talk", 60_000), "\"role\":\"replica\"");
-      assertThat(old.body()).contains("ageBoundMillis");
+      cluster.awaitStatement(0, POOL, write("talk", "start"));
+      HttpResponse<String> stale =
+          cluster.awaitStatementResult(0, POOL, bounded("talk", 60_000), "\"role\":\"replica\"");
+      assertThat(stale.body()).contains("ageBoundMillis");
       HttpResponse<String> fresh = cluster.statement(0, POOL, Optional.empty(), bounded("talk", 0));
       assertThat(fresh.body()).contains("\"role\":\"primary\"");
       String metrics = cluster.get(0, "/metrics").body();
--- a/alderyard-daemon/src/test/java/org/alderyard/daemon/ReturnOfAllHostsTest.java
+++ b/alderyard-daemon/src/test/java/org/alderyard/daemon/ReturnOfAllHostsTest.java
@@ -17,59 +17,68 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Pattern: all hosts lose power and return a second later, before one server that accepts 25
- * connections and counts dead ones for three seconds. Hosts that had shared all 25 among them found
- * no room when they came back, and their callers were refused until the server had noticed.
+ * Tests that all hosts can reconnect to a server after a simultaneous power loss.
  *
- * <p>Eleven hosts with work for 0.4 connections on average and for two in their peaks; grants and
- * targets are the real ones, the server is a counter.
+ * <p>The hosts return after a second, while the server, which accepts 25 connections, counts dead
+ * ones for three seconds. Hosts that together held all 25 connections were refused until the server
+ * had noticed the loss, and so were their callers.
+ *
+ * <p>The model has eleven hosts with a mean demand of 0.4 connections and a peak of two. It uses
+ * the real grant ledger and connection targets; the server is only a counter.
  */
 class ReturnOfAllHostsTest {
-  private static final int ACCEPTED = 25;
+  private static final int MAX_CONNECTIONS = 25;
   private static final int HOSTS = 11;
   private static final double MEAN_DEMAND = 0.4;
   private static final PoolUse PEAK = new PoolUse(2, 2, 0);
   private static final ServerId SERVER = new ServerId("s1");
-  private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
-  private static final int CALM_RENEWALS = 20;
+  private static final long SECOND_NANOS = TimeUnit.SECONDS.toNanos(1);
+  private static final int RENEWALS = 20;
 
-  /** What hosts hold after a while, each at least what it may have without a grant. */
-  private static int heldInTheEnd(GrantOptions options, ConnectionTarget target, int withoutGrant) {
-    GrantLedger ledger = new GrantLedger(options, -60 * SECOND);
+  /**
+   * Returns the connections that all hosts hold in the steady state; each holds at least what it
+   * may open without a grant.
+   */
+  private static int steadyStateConnections(
+      GrantOptions options, ConnectionTarget target, int withoutGrant) {
+    GrantLedger ledger = new GrantLedger(options, -60 * SECOND_NANOS);
     List<Integer> held = new ArrayList<>();
     for (int host = 0; host < HOSTS; host++) {
       held.add(withoutGrant);
     }
-    for (int renewal = 1; renewal <= CALM_RENEWALS; renewal++) {
+    for (int renewal = 1; renewal <= RENEWALS; renewal++) {
       for (int host = 0; host < HOSTS; host++) {
         ProxyId proxy = new ProxyId(new HostId("h" + host), 1);
         int targetConnections = target.targetConnections(SERVER, PEAK);
-        long now = renewal * SECOND;
+        long now = renewal * SECOND_NANOS;
         int granted =
-            ledger.renew(ACCEPTED, true, proxy, renewal, held.get(host), targetConnections, now);
+            ledger.renew(
+                MAX_CONNECTIONS, true, proxy, renewal, held.get(host), targetConnections, now);
         held.set(host, Math.max(withoutGrant, granted));
       }
     }
     return held.stream().mapToInt(Integer::intValue).sum();
   }
 
-  /** Connections that are refused when each host opens what it may have without a grant. */
-  private static int refusedOnReturn(int dead, int withoutGrant) {
-    return Math.max(0, dead + HOSTS * withoutGrant - ACCEPTED);
+  /** Returns the connections refused when each host opens what it may open without a grant. */
+  private static int refusedOnReconnect(int deadConnections, int withoutGrant) {
+    return Math.max(0, deadConnections + HOSTS * withoutGrant - MAX_CONNECTIONS);
   }
 
   @Test
-  void allHostsFindRoomWhileTheServerCountsTheDeadConnections() {
-    int dead =
-        heldInTheEnd(GrantOptions.ADVISORY, new SmoothedConnectionTarget(server -> MEAN_DEMAND), 1);
+  void hostsReconnectWhileServerCountsDeadConnections() {
+    int deadConnections =
+        steadyStateConnections(
+            GrantOptions.ADVISORY, new SmoothedConnectionTarget(server -> MEAN_DEMAND), 1);
 
-    assertThat(refusedOnReturn(dead, 1)).isEqualTo(0);
+    assertThat(refusedOnReconnect(deadConnections, 1)).isEqualTo(0);
   }
 
   @Test
-  void hostsThatShareAllConnectionsByTheirPeaksFindNone() {
-    int dead = heldInTheEnd(GrantOptions.DEFAULT, new PeakConnectionTarget(server -> 0), 2);
+  void hostsThatHoldAllConnectionsAreRefused() {
+    int deadConnections =
+        steadyStateConnections(GrantOptions.DEFAULT, new PeakConnectionTarget(server -> 0), 2);
 
-    assertThat(refusedOnReturn(dead, 2)).isGreaterThan(HOSTS);
+    assertThat(refusedOnReconnect(deadConnections, 2)).isGreaterThan(HOSTS);
   }
 }
--- a/alderyard-daemon/src/test/java/org/alderyard/daemon/SessionHostTest.java
+++ b/alderyard-daemon/src/test/java/org/alderyard/daemon/SessionHostTest.java
@@ -24,16 +24,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** One host whose callers open sessions, as a whole: its settings, its ports, its control log. */
+/** Tests a complete host whose callers open sessions: settings, ports and control log. */
 class SessionHostTest {
-  private static final String FIRST =
+  private static final String CONFIGURATION =
       "{\"version\":3,\"routes\":[{\"name\":\"r\",\"host\":\"orders\",\"path_prefix\":\"/\","
           + "\"route_type\":\"primary\",\"timeout_ms\":400,\"service\":\"g1\"}],"
           + "\"services\":[{\"name\":\"g1\",\"max_connections\":4}],\"limits\":{}}";
 
   @TempDir Path folder;
   private final HttpClient http = HttpClient.newHttpClient();
-  private final List<LogLevel> seen = new ArrayList<>();
+  private final List<LogLevel> reloadedLevels = new ArrayList<>();
   private int[] ports;
   private Daemon daemon;
 
@@ -44,9 +44,9 @@
     Files.writeString(folder.resolve("cluster.key"), "0123456789abcdef0123456789abcdef");
     Files.writeString(folder.resolve("host.ini"), settings("info"));
     daemon = new Daemon(DaemonSettings.read(folder.resolve("host.ini")));
-    // Callers' port is open now; those of operators follow, so that a host can be stopped
-    // meanwhile.
-    daemon.operable().get(60, TimeUnit.SECONDS);
+    // The caller port is open now. The operator port opens later, so that a starting host can be
+    // stopped meanwhile.
+    daemon.whenOperatorPortsOpen().get(60, TimeUnit.SECONDS);
   }
 
   @AfterEach
@@ -94,7 +94,7 @@
     return http.send(request, HttpResponse.BodyHandlers.ofString());
   }
 
-  /** Sends as an operator does: what has no clear answer is sent again unchanged. */
+  /** Sends a configuration and resends it unchanged while the status is 503. */
   private int replace(String configuration) throws Exception {
     int status = 503;
     for (int i = 0; i < 60 && status == 503; i++) {
@@ -108,7 +108,7 @@
     return send(ports[3], "GET", "/api/readiness", "").statusCode() == 200;
   }
 
-  private String open(String database) throws IOException {
+  private String openSession(String database) throws IOException {
     try (Socket socket = new Socket("127.0.0.1", ports[0])) {
       socket.setSoTimeout(10_000);
       socket
@@ -121,41 +121,41 @@
   }
 
   @Test
-  void configurationIsTakenGivenBackAndObeyed() throws Exception {
+  void configurationIsAcceptedReturnedAndApplied() throws Exception {
     assertThat(ready()).isFalse();
-    assertThat(replace(FIRST)).isEqualTo(200);
-    assertThat(replace(FIRST)).isEqualTo(200);
-    assertThat(send(ports[2], "GET", "/api/Config.Fetch", "").body()).isEqualTo(FIRST);
+    assertThat(replace(CONFIGURATION)).isEqualTo(200);
+    assertThat(replace(CONFIGURATION)).isEqualTo(200);
+    assertThat(send(ports[2], "GET", "/api/Config.Fetch", "").body()).isEqualTo(CONFIGURATION);
 
     for (int i = 0; i < 100 && !ready(); i++) {
       TimeUnit.MILLISECONDS.sleep(50);
     }
     assertThat(ready()).isTrue();
-    assertThat(open("orders")).isEqualTo("READY I -");
-    assertThat(open("nowhere")).startsWith("ERROR NODB");
+    assertThat(openSession("orders")).isEqualTo("READY I -");
+    assertThat(openSession("nowhere")).startsWith("ERROR NODB");
   }
 
   @Test
   void invalidAndConflictingConfigurationsAreRefusedAndChangeNothing() throws Exception {
-    assertThat(replace(FIRST)).isEqualTo(200);
+    assertThat(replace(CONFIGURATION)).isEqualTo(200);
 
-    assertThat(replace(FIRST.replace("400", "500"))).isEqualTo(409);
-    assertThat(replace(FIRST.replace("\"version\":3", "\"version\":4").replace("400", "0")))
+    assertThat(replace(CONFIGURATION.replace("400", "500"))).isEqualTo(409);
+    assertThat(replace(CONFIGURATION.replace("\"version\":3", "\"version\":4").replace("400", "0")))
         .isEqualTo(422);
     assertThat(
             replace(
-                FIRST
+                CONFIGURATION
                     .replace("\"version\":3", "\"version\":4")
                     .replace("\"service\":\"g1\"", "\"service\":\"g2\"")))
         .isEqualTo(422);
-    assertThat(replace(FIRST.substring(0, 60))).isEqualTo(400);
-    assertThat(replace(FIRST.replace("\"version\":3", "\"version\":2"))).isEqualTo(200);
-    assertThat(send(ports[2], "GET", "/api/Config.Fetch", "").body()).isEqualTo(FIRST);
+    assertThat(replace(CONFIGURATION.substring(0, 60))).isEqualTo(400);
+    assertThat(replace(CONFIGURATION.replace("\"version\":3", "\"version\":2"))).isEqualTo(200);
+    assertThat(send(ports[2], "GET", "/api/Config.Fetch", "").body()).isEqualTo(CONFIGURATION);
   }
 
   @Test
-  void serversAnnounceThemselvesAndOthersWritersAreRefused() throws Exception {
-    assertThat(replace(FIRST)).isEqualTo(200);
+  void serversAnnounceThemselvesAndInvalidStateIsRefused() throws Exception {
+    assertThat(replace(CONFIGURATION)).isEqualTo(200);
     String heartbeat =
         "{\"service\":\"g1\",\"address\":\"127.0.0.1:1\",\"zone\":\"z\",\"version\":\"v1\","
             + "\"slots\":2,\"state\":\"ready\",\"cold_remaining_ms\":0,\"db_role\":\"primary\","
@@ -167,18 +167,18 @@
   }
 
   @Test
-  void changedSettingsAreReadAndUnusableOnesChangeNothing() throws Exception {
+  void changedSettingsAreReloadedAndInvalidOnesIgnored() throws Exception {
     SettingsWatch watch =
         new SettingsWatch(
             folder.resolve("host.ini"),
             new WorkerPool("test", 1),
-            changed -> seen.add(changed.log().level()));
-    watch.look("file");
+            changed -> reloadedLevels.add(changed.log().level()));
+    watch.reloadIfChanged("file");
     Files.writeString(folder.resolve("host.ini"), settings("warn"));
-    watch.look("file");
+    watch.reloadIfChanged("file");
     Files.writeString(folder.resolve("host.ini"), settings("loud"));
-    watch.look("signal");
+    watch.reloadIfChanged("signal");
 
-    assertThat(seen).containsExactly(LogLevel.WARN);
+    assertThat(reloadedLevels).containsExactly(LogLevel.WARN);
   }
 }
--- a/alderyard-daemon/src/test/java/org/alderyard/daemon/SlotsTest.java
+++ b/alderyard-daemon/src/test/java/org/alderyard/daemon/SlotsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The slots of a server hold for writes as for reads. */
+/** Tests that the slot limit of a server applies to writes. */
 class SlotsTest {
   private static final String TICKET =
       """
@@ -30,29 +30,31 @@
   @TempDir Path folder;
 
   /**
-   * A packing floor sends sixty orders at once. The primary has two slots and takes 100 ms for
-   * each; writes once went around the limiter, and the server got all of them together and refused
-   * what its own queue could not hold. Then the proxy held them back, but asked for the connections
-   * of one statement at a time, and the last orders ran out of time. Now it asks for what waits.
+   * Sends sixty concurrent writes to a primary with two slots and a service time of 100 ms.
+   *
+   * <p>Guards against two failures: writes that bypassed the limiter reached the server all
+   * together, and it refused what its own queue could not hold; and a proxy that requested
+   * connections for one statement at a time let the last writes miss their deadlines. The
+   * connection target must cover all queued statements.
    */
   @Test
-  void burstOfWritesReachesTheServerFewAtTime() throws Exception {
+  void burstOfWritesRespectsSlotLimit() throws Exception {
     try (TestCluster cluster = new TestCluster(folder)) {
       cluster.startHost("h1");
       cluster.startGroup("g1");
       assertThat(cluster.putTicket(0, 1, TICKET).statusCode()).isEqualTo(200);
-      cluster.statementOnceReady(0, "orders", write(0));
+      cluster.awaitStatement(0, "orders", write(0));
       cluster.servers.get(0).switches().set(Json.object().put("serviceMillis", 100));
-      int before = cluster.servers.get(0).mostConcurrentStatements();
-      assertThat(before).isAtMost(4);
+      int initialMaximum = cluster.servers.get(0).mostConcurrentStatements();
+      assertThat(initialMaximum).isAtMost(4);
 
-      List<CompletableFuture<Integer>> answers = new ArrayList<>();
+      List<CompletableFuture<Integer>> statuses = new ArrayList<>();
       for (int order = 1; order <= WRITES; order++) {
         String body = write(order);
-        answers.add(CompletableFuture.supplyAsync(() -> status(cluster, body)));
+        statuses.add(CompletableFuture.supplyAsync(() -> status(cluster, body)));
       }
-      for (CompletableFuture<Integer> answer : answers) {
-        assertThat(answer.join()).isEqualTo(200);
+      for (CompletableFuture<Integer> status : statuses) {
+        assertThat(status.join()).isEqualTo(200);
       }
       assertThat(cluster.servers.get(0).mostConcurrentStatements()).isAtMost(4);
     }
--- a/alderyard-daemon/src/test/java/org/alderyard/daemon/TestCluster.java
+++ b/alderyard-daemon/src/test/java/org/alderyard/daemon/TestCluster.java
@@ -18,15 +18,15 @@
 import org.alderyard.testkit.standin.StandInOptions;
 import org.alderyard.testkit.standin.StandInServer;
 
-/** A few daemons and one group of stand-in servers inside the test's process. */
+/** Daemons and one group of stand-in backend servers, all running inside the test process. */
 final class TestCluster implements AutoCloseable {
   static final String OPERATOR_KEY = "operator-secret";
   private static final int ATTEMPTS = 200;
-  private static final long PAUSE_MILLIS = 50;
+  private static final long RETRY_DELAY_MILLIS = 50;
 
   private final Path folder;
   private final HttpClient http = HttpClient.newHttpClient();
-  private final List<AutoCloseable> parts = new ArrayList<>();
+  private final List<AutoCloseable> resources = new ArrayList<>();
   private final List<Daemon> daemons = new ArrayList<>();
   final List<DaemonSettings> hosts = new ArrayList<>();
   final List<StandInServer> servers = new ArrayList<>();
@@ -37,17 +37,17 @@
     Files.writeString(folder.resolve("operator.key"), OPERATOR_KEY);
   }
 
-  /** Starts a host; the first one is the control host. */
+  /** Starts a host. The first host is the control host. */
   void startHost(String id) throws IOException {
     startHost(id, "");
   }
 
-  /** Starts a host with the given lines in its proxy section. */
+  /** Starts a host with additional lines in its proxy section. */
   void startHost(String id, String proxyLines) throws IOException {
-    int inner = FreePorts.next();
-    boolean first = hosts.isEmpty();
+    int innerPort = FreePorts.next();
+    boolean isControlHost = hosts.isEmpty();
     InetSocketAddress control =
-        first ? new InetSocketAddress("127.0.0.1", inner) : hosts.get(0).innerAddress();
+        isControlHost ? new InetSocketAddress("127.0.0.1", innerPort) : hosts.get(0).innerAddress();
     String text =
         """
         [host]
@@ -70,9 +70,9 @@
         """
             .formatted(
                 id,
-                first ? "proxy,control" : "proxy",
+                isControlHost ? "proxy,control" : "proxy",
                 FreePorts.next(),
-                inner,
+                innerPort,
                 FreePorts.next(),
                 control.getPort(),
                 folder.resolve("cluster.key"),
@@ -84,20 +84,20 @@
     hosts.add(settings);
     Daemon daemon = new Daemon(settings);
     daemons.add(daemon);
-    parts.add(daemon);
+    resources.add(daemon);
   }
 
-  /** Asks a host to end and waits until it has. */
+  /** Stops a host and waits until it has stopped. */
   void stopHost(int host) {
     daemons.get(host).close();
   }
 
-  /** Starts a group of a primary and two replicas that announce themselves to the last host. */
+  /** Starts a primary and two replicas that announce themselves to the host started last. */
   void startGroup(String group) throws IOException {
     startGroup(group, false);
   }
 
-  /** Starts such a group, whose servers keep a request ledger or don't. */
+  /** Starts a primary and two replicas, with or without a request ledger on the servers. */
   void startGroup(String group, boolean ledger) throws IOException {
     List<InetSocketAddress> addresses = new ArrayList<>();
     for (int number = 1; number <= 3; number++) {
@@ -121,7 +121,7 @@
                   List.of(hosts.get(hosts.size() - 1).callerAddress()),
                   1_500));
       servers.add(server);
-      parts.add(server);
+      resources.add(server);
     }
   }
 
@@ -139,34 +139,40 @@
         HttpResponse.BodyHandlers.ofString());
   }
 
-  /** Repeats a request of operators until its answer holds a text. */
+  /** Repeats an operator request until the response contains the text. */
   void awaitOperator(int host, String path, String text) throws Exception {
-    HttpResponse<String> last = null;
+    HttpResponse<String> lastResponse = null;
     for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
-      last = operator(host, "GET", path, "");
-      if (last.body().contains(text)) {
+      lastResponse = operator(host, "GET", path, "");
+      if (lastResponse.body().contains(text)) {
         return;
       }
-      Thread.sleep(PAUSE_MILLIS);
+      Thread.sleep(RETRY_DELAY_MILLIS);
     }
-    throw new AssertionError("no " + text + ": " + last.statusCode() + " " + last.body());
+    throw new AssertionError(
+        "the response never contains "
+            + text
+            + ": "
+            + lastResponse.statusCode()
+            + " "
+            + lastResponse.body());
   }
 
-  /** Repeats the balancer's question until it has the given status. */
+  /** Repeats the readiness check of the load balancer until it returns the status. */
   void awaitReady(int host, int status) throws Exception {
     var request = HttpRequest.newBuilder(uri(hosts.get(host).callerAddress(), "/ready")).build();
     for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
       if (http.send(request, HttpResponse.BodyHandlers.ofString()).statusCode() == status) {
         return;
       }
-      Thread.sleep(PAUSE_MILLIS);
+      Thread.sleep(RETRY_DELAY_MILLIS);
     }
     throw new AssertionError("/ready is never " + status);
   }
 
-  /** Shuts the host down that was started last. */
-  void stopLast() throws Exception {
-    parts.remove(parts.size() - 1).close();
+  /** Closes the host or server that was started last. */
+  void closeLastStarted() throws Exception {
+    resources.remove(resources.size() - 1).close();
   }
 
   HttpResponse<String> statement(int host, String pool, Optional<String> token, String body)
@@ -174,7 +180,7 @@
     return post(host, "/v1/pools/" + pool + "/statements", token, body);
   }
 
-  /** Sends a caller's request to a path. */
+  /** Sends a caller's request. */
   HttpResponse<String> post(int host, String path, Optional<String> token, String body)
       throws Exception {
     var request =
@@ -184,23 +190,26 @@
     return http.send(request.build(), HttpResponse.BodyHandlers.ofString());
   }
 
-  /** Repeats a statement until it is answered with 200: the cluster takes a moment to form. */
-  HttpResponse<String> statementOnceReady(int host, String pool, String body) throws Exception {
-    return statementUntil(host, pool, body, "");
+  /**
+   * Repeats a statement until it succeeds with status 200, because the cluster takes a moment to
+   * form.
+   */
+  HttpResponse<String> awaitStatement(int host, String pool, String body) throws Exception {
+    return awaitStatementResult(host, pool, body, "");
   }
 
-  /** Repeats a statement until it is answered with 200 and the answer holds the given text. */
-  HttpResponse<String> statementUntil(int host, String pool, String body, String text)
+  /** Repeats a statement until the response has status 200 and contains the text. */
+  HttpResponse<String> awaitStatementResult(int host, String pool, String body, String text)
       throws Exception {
-    HttpResponse<String> last = null;
+    HttpResponse<String> lastResponse = null;
     for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
-      last = statement(host, pool, Optional.empty(), body);
-      if (last.statusCode() == 200 && last.body().contains(text)) {
-        return last;
+      lastResponse = statement(host, pool, Optional.empty(), body);
+      if (lastResponse.statusCode() == 200 && lastResponse.body().contains(text)) {
+        return lastResponse;
       }
-      Thread.sleep(PAUSE_MILLIS);
+      Thread.sleep(RETRY_DELAY_MILLIS);
     }
-    throw new AssertionError("not ready: " + last.statusCode() + " " + last.body());
+    throw new AssertionError("not ready: " + lastResponse.statusCode() + " " + lastResponse.body());
   }
 
   HttpResponse<String> get(int host, String path) throws Exception {
@@ -215,8 +224,8 @@
 
   @Override
   public void close() throws Exception {
-    for (int i = parts.size() - 1; i >= 0; i--) {
-      parts.get(i).close();
+    for (int i = resources.size() - 1; i >= 0; i--) {
+      resources.get(i).close();
     }
   }
 }
--- a/alderyard-daemon/src/test/java/org/alderyard/daemon/ThreeControlHostsTest.java
+++ b/alderyard-daemon/src/test/java/org/alderyard/daemon/ThreeControlHostsTest.java
@@ -20,13 +20,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Tickets over three control hosts with data folders, in real daemons. */
+/** Tests tickets on a cluster of three control hosts with data folders, running as real daemons. */
 class ThreeControlHostsTest {
-  private static final String KEY = "operator-secret";
+  private static final String OPERATOR_KEY = "operator-secret";
   private static final String TICKET = "{\"objects\":[{\"kind\":\"group\",\"id\":\"g%d\"}]}";
   private static final int HOSTS = 3;
   private static final int ATTEMPTS = 400;
-  private static final long PAUSE_MILLIS = 50;
+  private static final long RETRY_DELAY_MILLIS = 50;
 
   @TempDir Path root;
   private final HttpClient http = HttpClient.newHttpClient();
@@ -44,7 +44,7 @@
       Files.createDirectories(root.resolve("data-" + number));
     }
     Files.writeString(root.resolve("cluster.key"), "a secret of the whole cluster");
-    Files.writeString(root.resolve("operator.key"), KEY);
+    Files.writeString(root.resolve("operator.key"), OPERATOR_KEY);
   }
 
   @AfterEach
@@ -97,55 +97,60 @@
     HttpRequest request =
         HttpRequest.newBuilder(
                 URI.create("http://127.0.0.1:" + operatorPorts[host] + "/v1/tickets/" + number))
-            .header("Authorization", "Bearer " + KEY)
+            .header("Authorization", "Bearer " + OPERATOR_KEY)
             .PUT(HttpRequest.BodyPublishers.ofString(TICKET.formatted(number)))
             .build();
     return http.send(request, HttpResponse.BodyHandlers.ofString());
   }
 
-  /** An operator resends a ticket until it is answered; that is safe by its number. */
-  private void accept(int host, int number) throws Exception {
-    HttpResponse<String> last = null;
+  /**
+   * Resends a ticket until it is accepted. Resending is safe because tickets are identified by
+   * their number.
+   */
+  private void submitUntilAccepted(int host, int number) throws Exception {
+    HttpResponse<String> lastResponse = null;
     for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
-      last = putTicket(host, number);
-      if (last.statusCode() == 200) {
+      lastResponse = putTicket(host, number);
+      if (lastResponse.statusCode() == 200) {
         return;
       }
-      assertThat(last.statusCode()).isAnyOf(502, 503, 504);
-      Thread.sleep(PAUSE_MILLIS);
+      assertThat(lastResponse.statusCode()).isAnyOf(502, 503, 504);
+      Thread.sleep(RETRY_DELAY_MILLIS);
     }
-    throw new AssertionError("not accepted: " + last.statusCode() + " " + last.body());
+    throw new AssertionError(
+        "not accepted: " + lastResponse.statusCode() + " " + lastResponse.body());
   }
 
-  /** Waits until the ticket's group is in the view of a host. */
+  /** Waits until a host's view contains the group of the ticket. */
   private void awaitInForce(int host, int number) throws Exception {
     URI groups = URI.create("http://127.0.0.1:" + operatorPorts[host] + "/v1/groups");
     HttpRequest request =
-        HttpRequest.newBuilder(groups).header("Authorization", "Bearer " + KEY).build();
+        HttpRequest.newBuilder(groups).header("Authorization", "Bearer " + OPERATOR_KEY).build();
     String body = "";
     for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
       body = http.send(request, HttpResponse.BodyHandlers.ofString()).body();
       if (body.contains("\"g" + number + "\"")) {
         return;
       }
-      Thread.sleep(PAUSE_MILLIS);
+      Thread.sleep(RETRY_DELAY_MILLIS);
     }
     throw new AssertionError("g" + number + " is not in force on host " + host + ": " + body);
   }
 
   /**
-   * Operators post tickets while each control host in turn is stopped and started again from its
-   * data folder; at the end all three stop and start. Every accepted ticket stays in force.
+   * Tickets are submitted while each control host in turn is stopped and restarted from its data
+   * folder; finally all three hosts are stopped and restarted. Every accepted ticket must stay in
+   * force.
    */
   @Test
-  void acceptedTicketsOutliveEveryHost() throws Exception {
+  void acceptedTicketsSurviveHostRestarts() throws Exception {
     for (int number = 0; number < HOSTS; number++) {
       start(number);
     }
-    accept(0, 1);
+    submitUntilAccepted(0, 1);
     for (int stopped = 0; stopped < HOSTS; stopped++) {
       running.remove(stopped).close();
-      accept((stopped + 1) % HOSTS, 10 + stopped);
+      submitUntilAccepted((stopped + 1) % HOSTS, 10 + stopped);
       start(stopped);
       awaitInForce(stopped, 10 + stopped);
     }
@@ -160,9 +165,12 @@
     }
   }
 
-  /** Two control hosts that keep nothing would each think that they alone decide. */
+  /**
+   * Several control hosts without data folders must be refused, because each of them would decide
+   * alone.
+   */
   @Test
-  void severalControlHostsNeedDataFolders() {
+  void severalControlHostsRequireDataFolders() {
     SettingsException error = assertThrows(SettingsException.class, () -> settings(0, ""));
     assertThat(error).hasMessageThat().contains("data-folder");
   }
--- a/alderyard-daemon/src/test/java/org/alderyard/daemon/TransactionTest.java
+++ b/alderyard-daemon/src/test/java/org/alderyard/daemon/TransactionTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Transactions of callers through several proxies, over real sockets. */
+/** Tests transactions through several proxies over real sockets. */
 class TransactionTest {
   private static final String TICKET =
       """
@@ -26,11 +26,11 @@
   @TempDir Path folder;
 
   /**
-   * The packing floor closes two parcels in one transaction; the balancer sends each request to
-   * another proxy. Nobody sees the first line before the commit, and everybody both lines after.
+   * Sends each request of one transaction to another proxy. Its writes must be invisible before the
+   * commit and all visible after it.
    */
   @Test
-  void transactionRunsThroughAnyProxyAndShowsAtCommitOnly() throws Exception {
+  void transactionRunsThroughAnyProxyAndIsVisibleOnlyAfterCommit() throws Exception {
     try (TestCluster cluster = start()) {
       String path = begin(cluster, 0);
       assertThat(post(cluster, 1, path + "/statements", append("parcel-1")).statusCode())
@@ -40,49 +40,51 @@
       assertThat(primaryRead(cluster)).doesNotContain("parcel");
 
       HttpResponse<String> committed = post(cluster, 1, path + "/commit", "");
-      HttpResponse<String> again = post(cluster, 0, path + "/commit", "");
+      HttpResponse<String> repeatedCommit = post(cluster, 0, path + "/commit", "");
 
       assertThat(committed.body()).contains("\"committed\":true");
       assertThat(committed.headers().firstValue("Alderyard-Session").isPresent()).isTrue();
-      assertThat(again.body()).contains("\"committed\":true");
+      assertThat(repeatedCommit.body()).contains("\"committed\":true");
       assertThat(primaryRead(cluster)).contains("[\"parcel-1\",\"parcel-2\"]");
     }
   }
 
   /**
-   * Two packers work at once, and one of them gives up. Each transaction has a connection of its
-   * own, so the one that is dropped takes no line of the other with it.
+   * Runs two transactions on the same key and rolls one back. Each has its own connection, so the
+   * rollback must not affect the writes of the other transaction.
    */
   @Test
-  void rollbackOfOneTransactionLeavesTheOther() throws Exception {
+  void rollbackDoesNotAffectOtherTransaction() throws Exception {
     try (TestCluster cluster = start()) {
-      String kept = begin(cluster, 0);
-      String dropped = begin(cluster, 0);
-      post(cluster, 0, kept + "/statements", append("kept"));
-      post(cluster, 0, dropped + "/statements", append("dropped"));
-
-      assertThat(post(cluster, 1, dropped + "/rollback", "").statusCode()).isEqualTo(200);
-      HttpResponse<String> late = post(cluster, 0, dropped + "/statements", append("late"));
-      post(cluster, 0, kept + "/commit", "");
-
-      assertThat(late.body()).contains("\"code\":\"TRANSACTION_LOST\"");
-      assertThat(late.body()).contains("\"outcome\":\"NOT_RUN\"");
+      String committedPath = begin(cluster, 0);
+      String rolledBackPath = begin(cluster, 0);
+      post(cluster, 0, committedPath + "/statements", append("kept"));
+      post(cluster, 0, rolledBackPath + "/statements", append("dropped"));
+
+      assertThat(post(cluster, 1, rolledBackPath + "/rollback", "").statusCode()).isEqualTo(200);
+      HttpResponse<String> lateStatement =
+          post(cluster, 0, rolledBackPath + "/statements", append("late"));
+      post(cluster, 0, committedPath + "/commit", "");
+
+      assertThat(lateStatement.body()).contains("\"code\":\"TRANSACTION_LOST\"");
+      assertThat(lateStatement.body()).contains("\"outcome\":\"NOT_RUN\"");
       assertThat(primaryRead(cluster)).contains("[\"kept\"]");
     }
   }
 
   /**
-   * The proxy that holds a transaction is replaced while it is open. A statement through another
-   * proxy is told that the transaction is lost and did not run; the server has dropped it.
+   * Uses the id of a transaction whose holder process has been replaced. A statement through
+   * another proxy must be refused with TRANSACTION_LOST and NOT_RUN, and a commit with
+   * OUTCOME_UNKNOWN.
    */
   @Test
-  void transactionOfGoneHolderIsLost() throws Exception {
+  void transactionOfReplacedHolderIsLost() throws Exception {
     try (TestCluster cluster = start()) {
-      String ofOlderProcess = "/h1:1:0123456789abcdef";
+      String olderTransaction = "/h1:1:0123456789abcdef";
 
       HttpResponse<String> statement =
-          post(cluster, 1, ofOlderProcess + "/statements", append("parcel"));
-      HttpResponse<String> commit = post(cluster, 1, ofOlderProcess + "/commit", "");
+          post(cluster, 1, olderTransaction + "/statements", append("parcel"));
+      HttpResponse<String> commit = post(cluster, 1, olderTransaction + "/commit", "");
 
       assertThat(statement.body()).contains("\"code\":\"TRANSACTION_LOST\"");
       assertThat(statement.body()).contains("\"outcome\":\"NOT_RUN\"");
@@ -96,16 +98,16 @@
     cluster.startHost("h2");
     cluster.startGroup("g1");
     assertThat(cluster.putTicket(1, 1, TICKET).statusCode()).isEqualTo(200);
-    String warm = append("warm").replace("order", "warm");
-    cluster.statementOnceReady(0, "orders", warm);
-    cluster.statementOnceReady(1, "orders", warm);
+    String warmUpStatement = append("warm").replace("order", "warm");
+    cluster.awaitStatement(0, "orders", warmUpStatement);
+    cluster.awaitStatement(1, "orders", warmUpStatement);
     return cluster;
   }
 
   private static String begin(TestCluster cluster, int host) throws Exception {
-    HttpResponse<String> begun = post(cluster, host, "", BEGIN);
-    assertThat(begun.statusCode()).isEqualTo(200);
-    JsonNode body = Json.parseObject(begun.body().getBytes(StandardCharsets.UTF_8));
+    HttpResponse<String> response = post(cluster, host, "", BEGIN);
+    assertThat(response.statusCode()).isEqualTo(200);
+    JsonNode body = Json.parseObject(response.body().getBytes(StandardCharsets.UTF_8));
     return "/" + body.path("transactionId").asText();
   }
 
--- a/alderyard-daemon/src/test/java/org/alderyard/daemon/WriteHistoryTest.java
+++ b/alderyard-daemon/src/test/java/org/alderyard/daemon/WriteHistoryTest.java
@@ -22,7 +22,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Histories of concurrent callers over two proxies, checked for every promise at once. */
+/**
+ * Checks histories of concurrent callers over several proxies against all consistency guarantees.
+ */
 class WriteHistoryTest {
   private static final String TICKET =
       """
@@ -39,19 +41,19 @@
   private static final int SESSIONS = 4;
   private static final int STEPS = 40;
   private static final int KEYS = 3;
-  private static final int SENDINGS = 4;
+  private static final int MAX_ATTEMPTS = 4;
 
   @TempDir Path folder;
   private final ConcurrentLinkedQueue<Operation> history = new ConcurrentLinkedQueue<>();
 
   /**
-   * Four shops append orders and read them back, each request through a proxy by chance. Replicas
-   * lag, and one answer in seven is lost after its statement ran; the shop sends such an order
-   * again under its id. At the end no acknowledged order is missing, none stands twice, and each
-   * shop has always seen its own.
+   * Four sessions append and read through random proxies, while replicas lag and one response in
+   * seven is lost after its statement has run; such writes are resent under the same id. No
+   * acknowledged write may be missing or duplicated, and each session must always read its own
+   * writes.
    */
   @Test
-  void lostAnswersAndLagBreakNoPromise() throws Exception {
+  void guaranteesHoldWithLostResponsesAndLag() throws Exception {
     try (TestCluster cluster = start(2)) {
       cluster.servers.forEach(
           server ->
@@ -61,24 +63,24 @@
 
       cluster.servers.forEach(
           server -> server.switches().set(Json.object().put("dropEveryNth", 0)));
-      assertPromisesKept(cluster);
+      assertGuaranteesHold(cluster);
     }
   }
 
   /**
-   * In the middle of the sale the primary is cut off with orders that its replicas may not hold,
-   * and another one takes over. Orders without an answer are sent again to the new primary. None
-   * that was acknowledged is lost, and none stands twice.
+   * Halfway through, the primary becomes unreachable with writes that its replicas may not hold,
+   * and another server takes over. Writes without a response are resent; no acknowledged write may
+   * be lost or duplicated.
    */
   @Test
-  void replacedPrimaryBreaksNoPromise() throws Exception {
+  void guaranteesHoldWhenPrimaryIsReplaced() throws Exception {
     try (TestCluster cluster = start(3)) {
       runSessions(
           cluster,
           () -> cluster.servers.get(0).switches().set(Json.object().put("unreachable", true)));
 
-      cluster.statementOnceReady(0, "orders", append("warm", "after", "after"));
-      assertPromisesKept(cluster);
+      cluster.awaitStatement(0, "orders", append("warm", "after", "after"));
+      assertGuaranteesHold(cluster);
     }
   }
 
@@ -90,7 +92,7 @@
     cluster.startGroup("g1", true);
     assertThat(cluster.putTicket(1, 1, TICKET).statusCode()).isEqualTo(200);
     for (int host = 0; host < hosts; host++) {
-      cluster.statementOnceReady(host, "orders", append("warm", "warm", "warm-" + host));
+      cluster.awaitStatement(host, "orders", append("warm", "warm", "warm-" + host));
     }
     return cluster;
   }
@@ -113,7 +115,7 @@
     sessions.forEach(CompletableFuture::join);
   }
 
-  private void assertPromisesKept(TestCluster cluster) throws Exception {
+  private void assertGuaranteesHold(TestCluster cluster) throws Exception {
     assertThat(HistoryChecker.check(List.copyOf(history), finalLists(cluster))).isEmpty();
     assertThat(history.stream().filter(Operation::acknowledgedAppend).count())
         .isAtLeast(SESSIONS * STEPS / 4);
@@ -144,7 +146,7 @@
     return "{\"key\":\"%s\",\"kind\":\"read\",\"statement\":\"get\"}".formatted(key);
   }
 
-  /** One shop: its requests follow one another and carry its session. */
+  /** A caller session that sends its requests one after the other with its session token. */
   private final class Session {
     private final TestCluster cluster;
     private final String name;
@@ -157,9 +159,9 @@
       this.random = random;
     }
 
-    void run(Runnable eachStep) {
+    void run(Runnable beforeStep) {
       for (int step = 0; step < STEPS; step++) {
-        eachStep.run();
+        beforeStep.run();
         String key = "key-" + random.nextInt(KEYS);
         if (random.nextBoolean()) {
           append(key, name + "-" + step);
@@ -172,9 +174,9 @@
     private void append(String key, String value) {
       final long startNanos = System.nanoTime();
       Operation.Result result = Operation.Result.UNKNOWN;
-      for (int sending = 0; sending < SENDINGS; sending++) {
-        HttpResponse<String> answer = send(WriteHistoryTest.append(key, value, value));
-        result = result(answer, sending);
+      for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
+        HttpResponse<String> response = send(WriteHistoryTest.append(key, value, value));
+        result = result(response, attempt);
         if (result == Operation.Result.OK) {
           break;
         }
@@ -182,36 +184,39 @@
       record(key, Operation.Kind.APPEND, value, result, startNanos, List.of());
     }
 
-    /** After a sending of unknown outcome, a later refusal says nothing of the first. */
-    private Operation.Result result(HttpResponse<String> answer, int sending) {
-      if (answer.statusCode() == 200) {
+    /**
+     * Returns the result of an attempt. NOT_RUN counts only on the first attempt, because a later
+     * refusal does not decide an earlier unknown outcome.
+     */
+    private Operation.Result result(HttpResponse<String> response, int attempt) {
+      if (response.statusCode() == 200) {
         return Operation.Result.OK;
       }
-      boolean notRun = sending == 0 && answer.body().contains("\"outcome\":\"NOT_RUN\"");
+      boolean notRun = attempt == 0 && response.body().contains("\"outcome\":\"NOT_RUN\"");
       return notRun ? Operation.Result.NOT_RUN : Operation.Result.UNKNOWN;
     }
 
     private void read(String key) {
       final long startNanos = System.nanoTime();
-      HttpResponse<String> answer = send(WriteHistoryTest.read(key));
-      boolean good = answer.statusCode() == 200;
+      HttpResponse<String> response = send(WriteHistoryTest.read(key));
+      boolean success = response.statusCode() == 200;
       record(
           key,
           Operation.Kind.READ,
           "",
-          good ? Operation.Result.OK : Operation.Result.UNKNOWN,
+          success ? Operation.Result.OK : Operation.Result.UNKNOWN,
           startNanos,
-          good ? list(answer.body()) : List.of());
+          success ? list(response.body()) : List.of());
     }
 
     private HttpResponse<String> send(String body) {
       try {
-        HttpResponse<String> answer =
+        HttpResponse<String> response =
             cluster.statement(random.nextInt(cluster.hosts.size()), "orders", token, body);
-        token = answer.headers().firstValue("Alderyard-Session").or(() -> token);
-        return answer;
-      } catch (Exception broken) {
-        throw new AssertionError(broken);
+        token = response.headers().firstValue("Alderyard-Session").or(() -> token);
+        return response;
+      } catch (Exception failure) {
+        throw new AssertionError(failure);
       }
     }
 
