--- a/alderyard-testkit/src/main/java/org/alderyard/testkit/history/HistoryChecker.java
+++ b/alderyard-testkit/src/main/java/org/alderyard/testkit/history/HistoryChecker.java
@@ -13,7 +13,7 @@
 import org.alderyard.testkit.history.Operation.Result;
 import org.alderyard.testkit.history.Violation.Promise;
 
-/** Checks a history against the lists that stand under the keys at the end. */
+/** Checks a history of operations against the final lists of the keys. */
 public final class HistoryChecker {
   private final List<Operation> operations;
   private final Map<String, List<String>> finalLists;
@@ -25,7 +25,7 @@
     this.finalLists = finalLists;
   }
 
-  /** Returns every violation; an empty list says that the history keeps all promises. */
+  /** Returns all violations; empty if the history satisfies all guarantees. */
   public static List<Violation> check(
       List<Operation> operations, Map<String, List<String>> finalLists) {
     HistoryChecker checker = new HistoryChecker(operations, finalLists);
@@ -50,12 +50,13 @@
           List<String> list = finalLists.getOrDefault(key, List.of());
           Map<String, Integer> counts = new HashMap<>();
           list.forEach(value -> counts.merge(value, 1, Integer::sum));
-          appends.forEach(append -> checkFinal(append, counts.getOrDefault(append.value(), 0)));
+          appends.forEach(
+              append -> checkFinalCount(append, counts.getOrDefault(append.value(), 0)));
         });
-    finalLists.forEach((key, list) -> checkOwn(key, list, "final list"));
+    finalLists.forEach((key, list) -> checkForeignValues(key, list, "final list"));
   }
 
-  private void checkFinal(Operation append, int count) {
+  private void checkFinalCount(Operation append, int count) {
     if (append.result() == Result.OK && count == 0) {
       report(Promise.NO_WRITE_LOST, append, append.value());
     }
@@ -73,31 +74,31 @@
       if (read.kind() != Kind.READ || read.result() != Result.OK) {
         continue;
       }
-      checkOwn(read.key(), read.observed(), "read of " + read.session());
-      checkBound(read);
+      checkForeignValues(read.key(), read.observed(), "read of " + read.session());
+      checkStaleness(read);
     }
   }
 
-  private void checkOwn(String key, List<String> list, String where) {
-    Set<String> own = new HashSet<>();
-    appendsByKey.getOrDefault(key, List.of()).forEach(append -> own.add(append.value()));
+  private void checkForeignValues(String key, List<String> list, String source) {
+    Set<String> appended = new HashSet<>();
+    appendsByKey.getOrDefault(key, List.of()).forEach(append -> appended.add(append.value()));
     list.stream()
-        .filter(value -> !own.contains(value))
+        .filter(value -> !appended.contains(value))
         .forEach(
             value ->
-                violations.add(new Violation(Promise.OWN_ANSWER, key, where + " has " + value)));
+                violations.add(new Violation(Promise.OWN_ANSWER, key, source + " has " + value)));
   }
 
-  private void checkBound(Operation read) {
+  private void checkStaleness(Operation read) {
     if (read.maxStalenessMillis().isEmpty()) {
       return;
     }
     long boundNanos = TimeUnit.MILLISECONDS.toNanos(read.maxStalenessMillis().getAsLong());
-    Set<String> seen = new HashSet<>(read.observed());
+    Set<String> observed = new HashSet<>(read.observed());
     for (Operation append : appendsByKey.getOrDefault(read.key(), List.of())) {
-      boolean due =
+      boolean mustBeVisible =
           append.acknowledgedAppend() && append.endNanos() < read.startNanos() - boundNanos;
-      if (due && !seen.contains(append.value())) {
+      if (mustBeVisible && !observed.contains(append.value())) {
         report(Promise.BOUNDED_STALENESS, read, append.value());
       }
     }
@@ -115,37 +116,37 @@
   }
 
   /**
-   * Follows one session on one key. Reads that state an age promise that age and no more, so they
-   * count neither as sightings nor as misses.
+   * Checks the reads of one session on one key. Reads with a maximum staleness guarantee only that
+   * bound, so they are excluded from the session guarantees.
    */
   private void checkSession(List<Operation> session) {
     List<Operation> ordered = new ArrayList<>(session);
     ordered.sort(Comparator.comparingLong(Operation::startNanos));
     Set<String> acknowledged = acknowledgedValues(ordered.get(0).key());
     for (Operation read : ordered) {
-      boolean counts =
+      boolean isSessionRead =
           read.kind() == Kind.READ
               && read.result() == Result.OK
               && read.maxStalenessMillis().isEmpty();
-      if (counts) {
+      if (isSessionRead) {
         checkSessionRead(read, ordered, acknowledged);
       }
     }
   }
 
   private void checkSessionRead(Operation read, List<Operation> session, Set<String> acknowledged) {
-    Set<String> seen = new HashSet<>(read.observed());
+    Set<String> observed = new HashSet<>(read.observed());
     for (Operation earlier : session) {
       if (earlier.endNanos() >= read.startNanos()) {
         continue;
       }
-      if (earlier.acknowledgedAppend() && !seen.contains(earlier.value())) {
+      if (earlier.acknowledgedAppend() && !observed.contains(earlier.value())) {
         report(Promise.READ_YOUR_WRITES, read, earlier.value());
       }
-      boolean sighting = earlier.kind() == Kind.READ && earlier.maxStalenessMillis().isEmpty();
-      if (sighting) {
+      boolean isSessionRead = earlier.kind() == Kind.READ && earlier.maxStalenessMillis().isEmpty();
+      if (isSessionRead) {
         earlier.observed().stream()
-            .filter(value -> acknowledged.contains(value) && !seen.contains(value))
+            .filter(value -> acknowledged.contains(value) && !observed.contains(value))
             .forEach(value -> report(Promise.MONOTONIC_READS, read, value));
       }
     }
--- a/alderyard-testkit/src/main/java/org/alderyard/testkit/history/Operation.java
+++ b/alderyard-testkit/src/main/java/org/alderyard/testkit/history/Operation.java
@@ -5,17 +5,18 @@
 import java.util.OptionalLong;
 
 /**
- * One request of a session and what became of it.
+ * One request of a session and its result.
  *
- * @param session who asked; its requests follow one another
- * @param key the key
- * @param kind whether it appended or read
- * @param value what was appended, unique in the history; empty for a read
- * @param result what the caller was told
- * @param startNanos when the request left
- * @param endNanos when the answer arrived
+ * @param session the session that sent the request; a session sends its requests in sequence
+ * @param key the key of the list
+ * @param kind whether the operation is an append or a read
+ * @param value the appended value, unique in the history; empty for a read
+ * @param result the result that the caller received
+ * @param startNanos time at which the request was sent, in nanoseconds
+ * @param endNanos time at which the response arrived, in nanoseconds
  * @param observed the list that a successful read returned
- * @param maxStalenessMillis the age that the read accepted; empty for a session's or primary's read
+ * @param maxStalenessMillis the staleness that the read accepted, in milliseconds; empty for a
+ *     session read or a primary read
  */
 public record Operation(
     String session,
@@ -28,7 +29,7 @@
     List<String> observed,
     OptionalLong maxStalenessMillis) {
 
-  /** Checks and copies. */
+  /** Rejects null components and copies the observed list. */
   public Operation {
     Objects.requireNonNull(session);
     Objects.requireNonNull(key);
@@ -39,27 +40,27 @@
     observed = List.copyOf(observed);
   }
 
-  /** Whether an operation appended or read. */
+  /** Type of an operation. */
   public enum Kind {
-    /** It appended its value to the list under the key. */
+    /** Appends its value to the list of the key. */
     APPEND,
-    /** It read the list. */
+    /** Reads the list of the key. */
     READ
   }
 
-  /** What the caller was told. */
+  /** Result that the caller received. */
   public enum Result {
-    /** It succeeded. */
+    /** The operation succeeded. */
     OK,
-    /** It did not run and never will. */
+    /** The operation did not run and will not run later. */
     NOT_RUN,
-    /** It ran and was refused without effect. */
+    /** The operation ran and failed without effect. */
     FAILED,
-    /** It may have run. */
+    /** The operation may have run. */
     UNKNOWN
   }
 
-  /** Returns whether this is an append that the caller was told is done. */
+  /** Returns whether this is an append whose success was reported to the caller. */
   public boolean acknowledgedAppend() {
     return kind == Kind.APPEND && result == Result.OK;
   }
--- a/alderyard-testkit/src/main/java/org/alderyard/testkit/history/Violation.java
+++ b/alderyard-testkit/src/main/java/org/alderyard/testkit/history/Violation.java
@@ -1,29 +1,29 @@
 package org.alderyard.testkit.history;
 
 /**
- * A broken promise.
+ * A violation of a consistency guarantee.
  *
- * @param promise which one
- * @param key the key that shows it
- * @param detail the value and the operation
+ * @param promise the violated guarantee
+ * @param key the key on which the violation was observed
+ * @param detail description of the operation and the value
  */
 public record Violation(Promise promise, String key, String detail) {
 
-  /** The promises that a history can break. */
+  /** The consistency guarantees that are checked. */
   public enum Promise {
-    /** An acknowledged write is there at the end. */
+    /** Every acknowledged write is present in the final list. */
     NO_WRITE_LOST,
-    /** No write is there twice. */
+    /** No write is present more than once in the final list. */
     NO_WRITE_DOUBLED,
-    /** A write that was refused as not run is not there. */
+    /** A write that was refused as not run, or that failed, is absent from the final list. */
     NOT_RUN_DID_NOT_RUN,
-    /** A session sees its own acknowledged writes. */
+    /** A session reads its own acknowledged writes. */
     READ_YOUR_WRITES,
-    /** A session never loses sight of an acknowledged write that it saw. */
+    /** An acknowledged write that a session has read is present in its later reads. */
     MONOTONIC_READS,
-    /** A read shows all that was acknowledged longer ago than it accepts. */
+    /** A read returns all writes acknowledged before its maximum staleness. */
     BOUNDED_STALENESS,
-    /** An answer holds values of its own key only. */
+    /** A response contains only values of the requested key. */
     OWN_ANSWER
   }
 }
--- a/alderyard-testkit/src/main/java/org/alderyard/testkit/history/package-info.java
+++ b/alderyard-testkit/src/main/java/org/alderyard/testkit/history/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Checks of what callers saw: recorded operations in, violations out.
+ * Checks recorded operations of callers for consistency violations.
  *
  * <p>Every write appends a value that is unique in the history to the list under its key, so that a
- * lost, doubled or foreign value shows in the lists themselves.
+ * lost, duplicate or foreign value is visible in the lists.
  */
 package org.alderyard.testkit.history;
--- a/alderyard-testkit/src/main/java/org/alderyard/testkit/net/FreePorts.java
+++ b/alderyard-testkit/src/main/java/org/alderyard/testkit/net/FreePorts.java
@@ -6,26 +6,35 @@
 import java.net.ServerSocket;
 
 /**
- * Deals loopback ports for processes that are started a moment later, each port once.
+ * Allocates loopback ports for processes to be started, each port once.
  *
- * <p>A port that the system itself picks is from the range of outgoing connections: until its
- * process listens on it, or while that process is down, any connection of the machine may get it.
+ * <p>The operating system picks ports from its ephemeral range. Until the process listens on such a
+ * port, or while the process is down, any outgoing connection may be assigned the same port.
  */
 public final class FreePorts {
-  /** The first port to deal, a number; above the well-known services. */
+  /** First port to allocate; above the ports of well-known services. */
   static final int FIRST = 12_000;
 
-  /** The port after the last to deal, a number; Linux opens connections from 32,768 upwards. */
+  /** End of the port range (exclusive); the ephemeral ports of Linux start at 32,768. */
   static final int END = 32_000;
 
-  /** How far apart two processes begin to look, in ports; far more than one of them needs. */
-  private static final int STRIDE = 211;
+  /**
+   * Distance between the first ports of processes with adjacent ids; exceeds the ports that one
+   * process needs.
+   */
+  private static final int PID_STRIDE = 211;
 
-  private static int next = FIRST + (int) (ProcessHandle.current().pid() * STRIDE % (END - FIRST));
+  private static int next =
+      FIRST + (int) (ProcessHandle.current().pid() * PID_STRIDE % (END - FIRST));
 
   private FreePorts() {}
 
-  /** Returns a port on which nobody listens and which was not dealt before by this process. */
+  /**
+   * Returns a port without a listener that this process has not returned since the range last
+   * wrapped around.
+   *
+   * @throws IllegalStateException if every port of the range is in use
+   */
   public static synchronized int next() {
     for (int tries = FIRST; tries < END; tries++) {
       int port = next;
@@ -37,7 +46,7 @@
     throw new IllegalStateException("no free port from " + FIRST + " to " + (END - 1));
   }
 
-  /** Returns the loopback address of a port on which nobody listens. */
+  /** Returns the loopback address of a newly allocated port, see {@link #next()}. */
   public static InetSocketAddress nextAddress() {
     return new InetSocketAddress(InetAddress.getLoopbackAddress(), next());
   }
@@ -45,7 +54,7 @@
   private static boolean isFree(int port) {
     try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
       return socket.isBound();
-    } catch (IOException taken) {
+    } catch (IOException inUse) {
       return false;
     }
   }
--- a/alderyard-testkit/src/main/java/org/alderyard/testkit/net/package-info.java
+++ b/alderyard-testkit/src/main/java/org/alderyard/testkit/net/package-info.java
@@ -1,2 +1,2 @@
-/** What tests and local systems need of the network of one machine. */
+/** Network utilities for tests and local clusters. */
 package org.alderyard.testkit.net;
--- a/alderyard-testkit/src/main/java/org/alderyard/testkit/package-info.java
+++ b/alderyard-testkit/src/main/java/org/alderyard/testkit/package-info.java
@@ -1,2 +1,2 @@
-/** Stand-in backend server and small fakes. */
+/** Stand-in backend server, in-memory models and other test utilities. */
 package org.alderyard.testkit;
--- a/alderyard-testkit/src/main/java/org/alderyard/testkit/session/ModelConnection.java
+++ b/alderyard-testkit/src/main/java/org/alderyard/testkit/session/ModelConnection.java
@@ -42,7 +42,7 @@
   private boolean readOnly;
   private boolean closed;
 
-  /** The server ran a statement, and its answer does not arrive. */
+  /** Signals that the server ran a statement and its response is lost. */
   private static final class LostAnswer extends RuntimeException {
     private static final long serialVersionUID = 1L;
   }
@@ -57,28 +57,30 @@
   public CompletableFuture<List<SessionReply>> run(
       List<SessionRequest> requests, Duration timeout) {
     if (closed || server.isUnreachable()) {
-      return lost(ErrorCode.CONNECTION_LOST);
+      return connectionLost(ErrorCode.CONNECTION_LOST);
     }
     if (server.isSilent()) {
       CompletableFuture<List<SessionReply>> never = new CompletableFuture<>();
       return never
           .orTimeout(timeout.toNanos(), TimeUnit.NANOSECONDS)
-          .handle((replies, late) -> this.<List<SessionReply>>lost(ErrorCode.DEADLINE_EXCEEDED))
+          .handle(
+              (replies, expired) ->
+                  this.<List<SessionReply>>connectionLost(ErrorCode.DEADLINE_EXCEEDED))
           .thenCompose(failure -> failure);
     }
     List<SessionReply> replies = new ArrayList<>();
     try {
       requests.forEach(request -> replies.add(answer(request)));
     } catch (LostAnswer lostAnswer) {
-      return lost(ErrorCode.CONNECTION_LOST);
+      return connectionLost(ErrorCode.CONNECTION_LOST);
     }
-    return server.gate().thenApply(open -> replies);
+    return server.released().thenApply(ignored -> replies);
   }
 
-  private <T> CompletableFuture<T> lost(ErrorCode code) {
+  private <T> CompletableFuture<T> connectionLost(ErrorCode code) {
     close();
     return CompletableFuture.failedFuture(
-        new AlderyardException(code, Outcome.OUTCOME_UNKNOWN, "no answer"));
+        new AlderyardException(code, Outcome.OUTCOME_UNKNOWN, "server did not respond"));
   }
 
   private SessionReply answer(SessionRequest request) {
@@ -86,39 +88,42 @@
     List<String> rows = new ArrayList<>();
     Optional<String> proof = Optional.empty();
     if (refusal.isEmpty()) {
-      refusal = perform(request, rows);
+      refusal = execute(request, rows);
       proof = request.id().map(id -> "proof-" + server.state().id() + "-" + id);
     }
-    refusal.ifPresent(refused -> server.noteRefusal(refused.code()));
+    refusal.ifPresent(refused -> server.countRefusal(refused.code()));
     if (refusal.isPresent() && state != TransactionState.NONE) {
       state = TransactionState.FAILED;
     }
-    return new SessionReply(rows, proof, refusal, state, Optional.of(server.shown()));
+    return new SessionReply(rows, proof, refusal, state, Optional.of(server.appliedPosition()));
   }
 
   private Optional<Refusal> refusal(SessionRequest request) {
     SessionStatement statement = request.statement();
-    boolean work =
+    boolean needsSlot =
         statement instanceof Read
             || statement instanceof Write
             || statement instanceof Execute
             || statement instanceof Commit;
-    if (request.after().filter(after -> server.shown().compareTo(after) < 0).isPresent()) {
+    if (request
+        .after()
+        .filter(after -> server.appliedPosition().compareTo(after) < 0)
+        .isPresent()) {
       return refuse(RefusalCode.BEHIND);
     }
     if (statement instanceof Execute execute && !prepared.containsKey(execute.name())) {
       return refuse(RefusalCode.NOT_PREPARED);
     }
-    boolean inPlain = state == TransactionState.OPEN && !readOnly;
-    boolean commitsNothing = statement instanceof Commit && written.isEmpty();
-    boolean needsLead =
+    boolean inReadWriteTransaction = state == TransactionState.OPEN && !readOnly;
+    boolean isEmptyCommit = statement instanceof Commit && written.isEmpty();
+    boolean requiresPrimary =
         writes(statement)
             || statement instanceof Begin begin && !begin.readOnly()
-            || inPlain && work && !commitsNothing;
-    if (needsLead && !group.leads(server)) {
+            || inReadWriteTransaction && needsSlot && !isEmptyCommit;
+    if (requiresPrimary && !group.leads(server)) {
       return refuse(RefusalCode.NOT_PRIMARY);
     }
-    return work && server.takeBusy() ? refuse(RefusalCode.BUSY) : Optional.empty();
+    return needsSlot && server.consumeBusy() ? refuse(RefusalCode.BUSY) : Optional.empty();
   }
 
   private boolean writes(SessionStatement statement) {
@@ -131,7 +136,7 @@
     return Optional.of(new Refusal(code, "model"));
   }
 
-  private Optional<Refusal> perform(SessionRequest request, List<String> rows) {
+  private Optional<Refusal> execute(SessionRequest request, List<String> rows) {
     SessionStatement statement = request.statement();
     if (statement instanceof SetValue set) {
       values.put(set.name(), set.value());
@@ -147,16 +152,20 @@
       state = TransactionState.NONE;
       written.clear();
     } else {
-      return work(request, rows);
+      return runInSlot(request, rows);
     }
     return Optional.empty();
   }
 
-  private Optional<Refusal> work(SessionRequest request, List<String> rows) {
-    server.note(
+  private Optional<Refusal> runInSlot(SessionRequest request, List<String> rows) {
+    server.addRun(
         new ModelServer.Ran(
-            request.id(), number, request.statement(), Map.copyOf(values), server.shown()));
-    if (server.takeFailure()) {
+            request.id(),
+            number,
+            request.statement(),
+            Map.copyOf(values),
+            server.appliedPosition()));
+    if (server.consumeFailure()) {
       return refuse(RefusalCode.FAILED);
     }
     SessionStatement statement = request.statement();
@@ -173,7 +182,7 @@
     } else if (statement instanceof Commit) {
       commit();
     }
-    if (server.takeLostAnswer()) {
+    if (server.consumeLostAnswer()) {
       throw new LostAnswer();
     }
     return Optional.empty();
--- a/alderyard-testkit/src/main/java/org/alderyard/testkit/session/ModelGroup.java
+++ b/alderyard-testkit/src/main/java/org/alderyard/testkit/session/ModelGroup.java
@@ -22,7 +22,7 @@
 import org.alderyard.common.view.ServerStatus;
 
 /**
- * A database group in memory: one primary, and replicas that get the log when they are told to.
+ * In-memory database group with one primary and replicas that receive the log on request.
  *
  * <pre>{@code
  * ModelGroup group = new ModelGroup("g1", "s1", "s2", "s3");
@@ -40,56 +40,56 @@
   private String primary;
   private long term = 1;
 
-  /** Creates a group whose first server leads; each server is in a zone of its own. */
+  /** Creates a group whose first server is the primary; each server is in a separate zone. */
   public ModelGroup(String id, String... names) {
     this.id = new GroupId(id);
     for (String name : names) {
-      int place = servers.size();
+      int index = servers.size();
       ServerState state =
           new ServerState(
               new ServerId(name),
               1,
               this.id,
-              new ZoneName("z" + place),
-              new InetSocketAddress("127.0.0.1", FIRST_PORT + place),
+              new ZoneName("z" + index),
+              new InetSocketAddress("127.0.0.1", FIRST_PORT + index),
               ServerStatus.ACTIVE);
       servers.put(name, new ModelServer(state));
     }
     primary = names[0];
   }
 
-  /** Returns the name of the group. */
+  /** Returns the id of the group. */
   public GroupId id() {
     return id;
   }
 
-  /** Returns a server. */
+  /** Returns the server of the given name; null if there is none. */
   public ModelServer server(String name) {
     return servers.get(name);
   }
 
-  /** Returns all servers as the registry knows them. */
+  /** Returns the registered states of all servers. */
   public List<ServerState> states() {
     return servers.values().stream().map(ModelServer::state).toList();
   }
 
-  /** Returns how many connections were opened. */
+  /** Returns the number of connections opened so far. */
   public int connectionCount() {
     return connections.get();
   }
 
-  /** Brings a replica up to the primary's log. */
+  /** Copies the log of the primary to a replica. */
   public synchronized void replicate(String replica) {
     List<ModelServer.Entry> log = servers.get(primary).log();
     servers.get(replica).copy(log, log.size());
   }
 
-  /** Brings all replicas up to the primary's log. */
+  /** Copies the log of the primary to all replicas. */
   public void replicate() {
     servers.keySet().stream().filter(name -> !name.equals(primary)).forEach(this::replicate);
   }
 
-  /** Appoints another primary, which leads the next term with what it holds. */
+  /** Makes a server the primary of the next term; the log of the server stays as it is. */
   public synchronized void promote(String name) {
     primary = name;
     term++;
@@ -100,7 +100,7 @@
     return term;
   }
 
-  /** Returns whether a server leads. */
+  /** Returns whether a server is the primary. */
   public synchronized boolean leads(String name) {
     return name.equals(primary);
   }
@@ -123,11 +123,12 @@
             .findFirst();
     if (server.isEmpty() || server.get().isUnreachable()) {
       return CompletableFuture.failedFuture(
-          AlderyardException.notRun(ErrorCode.CONNECTION_LOST, "nothing listens there"));
+          AlderyardException.notRun(ErrorCode.CONNECTION_LOST, "server refused the connection"));
     }
     if (!server.get().state().id().equals(state.id())) {
       return CompletableFuture.failedFuture(
-          new ConnectRefusedException(RefusalCode.WRONG_SERVER, "another server"));
+          new ConnectRefusedException(
+              RefusalCode.WRONG_SERVER, "address belongs to another server"));
     }
     return CompletableFuture.completedFuture(
         new ModelConnection(this, server.get(), connections.incrementAndGet()));
--- a/alderyard-testkit/src/main/java/org/alderyard/testkit/session/ModelServer.java
+++ b/alderyard-testkit/src/main/java/org/alderyard/testkit/session/ModelServer.java
@@ -12,20 +12,20 @@
 import org.alderyard.common.id.Position;
 import org.alderyard.common.view.ServerState;
 
-/** One server of a {@link ModelGroup}: its log, and the faults that it is told to have. */
+/** A server of a {@link ModelGroup} with its log and its scripted faults. */
 public final class ModelServer {
 
-  /** One committed write. */
+  /** A committed write. */
   record Entry(Position position, Map<String, String> items) {}
 
   /**
-   * A statement that was run.
+   * A statement that the server ran.
    *
-   * @param id the caller's name for it
-   * @param connection the connection that it came on
-   * @param statement the statement
-   * @param values the session's values when it ran
-   * @param position up to where reads showed the log
+   * @param id the id that the caller gave the statement, if any
+   * @param connection the number of the connection that the statement arrived on
+   * @param statement the statement that ran
+   * @param values the values of the session at the time of the run
+   * @param position the applied position before the statement ran
    */
   public record Ran(
       Optional<String> id,
@@ -44,67 +44,70 @@
   private int busy;
   private int lostAnswers;
   private int failures;
-  private CompletableFuture<Void> gate = CompletableFuture.completedFuture(null);
+  private CompletableFuture<Void> released = CompletableFuture.completedFuture(null);
 
   ModelServer(ServerState state) {
     this.state = state;
   }
 
-  /** Refuses connections and breaks those that are open at their next use. */
+  /** Sets whether new connections are refused and open connections fail at their next use. */
   public synchronized void unreachable(boolean value) {
     unreachable = value;
   }
 
-  /** Takes everything and answers nothing. */
+  /** Sets whether requests are accepted without a response. */
   public synchronized void silent(boolean value) {
     silent = value;
   }
 
-  /** Holds its answers back until {@link #letGo()}. */
+  /** Delays responses until {@link #letGo()} is called. */
   public synchronized void hold() {
-    gate = new CompletableFuture<>();
+    released = new CompletableFuture<>();
   }
 
-  /** Sends the answers that were held back. */
+  /** Sends the delayed responses. */
   public void letGo() {
-    gate().complete(null);
+    released().complete(null);
   }
 
-  synchronized CompletableFuture<Void> gate() {
-    return gate;
+  synchronized CompletableFuture<Void> released() {
+    return released;
   }
 
-  /** Refuses the next statements that take a slot. */
+  /** Refuses the given number of statements that take a slot. */
   public synchronized void busy(int statements) {
     busy = statements;
   }
 
-  /** Runs the next statements that take a slot and breaks their connections without an answer. */
+  /**
+   * Runs the given number of statements that take a slot and closes their connections without a
+   * response.
+   */
   public synchronized void loseAnswers(int statements) {
     lostAnswers = statements;
   }
 
-  /** Runs the next statements that take a slot and answers that they failed. */
+  /** Runs the given number of statements that take a slot and responds with a failure. */
   public synchronized void fail(int statements) {
     failures = statements;
   }
 
-  /** Returns the statements of callers that ran here, in order. */
+  /** Returns the statements of callers that ran at this server, in order. */
   public synchronized List<Ran> ran() {
     return List.copyOf(ran);
   }
 
-  /** Returns how many statements it refused for this reason. */
+  /** Returns the number of statements refused with the given code. */
   public synchronized int refusals(RefusalCode code) {
     return refusals.getOrDefault(code, 0);
   }
 
-  /** Returns the server as the registry knows it. */
+  /** Returns the registered state of this server. */
   public ServerState state() {
     return state;
   }
 
-  /** Returns whether it takes connections. */
+  /** Returns whether the server accepts connections. */
   public synchronized boolean reachable() {
     return !unreachable;
   }
@@ -117,31 +120,31 @@
     return silent;
   }
 
-  synchronized boolean takeBusy() {
+  synchronized boolean consumeBusy() {
     return busy > 0 && busy-- > 0;
   }
 
-  synchronized boolean takeLostAnswer() {
+  synchronized boolean consumeLostAnswer() {
     return lostAnswers > 0 && lostAnswers-- > 0;
   }
 
-  synchronized boolean takeFailure() {
+  synchronized boolean consumeFailure() {
     return failures > 0 && failures-- > 0;
   }
 
-  synchronized void noteRefusal(RefusalCode code) {
+  synchronized void countRefusal(RefusalCode code) {
     refusals.merge(code, 1, Integer::sum);
   }
 
-  synchronized void note(Ran statement) {
+  synchronized void addRun(Ran statement) {
     ran.add(statement);
   }
 
-  synchronized Position shown() {
+  synchronized Position appliedPosition() {
     return applied == 0 ? Position.NONE : entries.get(applied - 1).position();
   }
 
-  /** Returns up to where it has the log. */
+  /** Returns the position of the last log entry, applied or not. */
   public synchronized Position received() {
     return entries.isEmpty() ? Position.NONE : entries.get(entries.size() - 1).position();
   }
@@ -151,7 +154,7 @@
     applied = entries.size();
   }
 
-  /** Copies the first entries of a log, and shows them. */
+  /** Replaces the log by the first entries of another log and applies them. */
   synchronized void copy(List<Entry> log, int count) {
     entries.clear();
     entries.addAll(log.subList(0, count));
--- a/alderyard-testkit/src/main/java/org/alderyard/testkit/session/package-info.java
+++ b/alderyard-testkit/src/main/java/org/alderyard/testkit/session/package-info.java
@@ -1,4 +1,2 @@
-/**
- * A group of backend servers with sessions, in memory: what it does and how it fails is scripted.
- */
+/** In-memory model of a group of backend servers with sessions and scripted faults. */
 package org.alderyard.testkit.session;
--- a/alderyard-testkit/src/main/java/org/alderyard/testkit/standin/KeyValues.java
+++ b/alderyard-testkit/src/main/java/org/alderyard/testkit/standin/KeyValues.java
@@ -8,7 +8,7 @@
 import org.alderyard.backend.BackendException;
 import org.alderyard.backend.BackendStatement;
 
-/** The data of a stand-in: values by key, and the statements get, put and append. */
+/** Key-value data of a stand-in server with the statements get, put and append. */
 final class KeyValues {
   private final Map<String, JsonNode> values;
 
@@ -32,7 +32,7 @@
       default ->
           throw new BackendException(
               BackendException.Refusal.STATEMENT_FAILED,
-              "statement '" + statement.text() + "'; accepted are get, put and append");
+              "unknown statement '" + statement.text() + "'; supported are get, put and append");
     };
   }
 
@@ -43,8 +43,8 @@
 
   private JsonNode append(String key, JsonNode value) {
     ArrayNode list = JsonNodeFactory.instance.arrayNode();
-    JsonNode old = values.get(key);
-    if (old instanceof ArrayNode items) {
+    JsonNode current = values.get(key);
+    if (current instanceof ArrayNode items) {
       list.addAll(items);
     }
     list.add(value);
@@ -56,7 +56,7 @@
     if (statement.parameters().isEmpty()) {
       throw new BackendException(
           BackendException.Refusal.STATEMENT_FAILED,
-          statement.text() + " without its parameter; accepted is one JSON value");
+          statement.text() + " requires one JSON value as its parameter");
     }
     return statement.parameters().get(0);
   }
--- a/alderyard-testkit/src/main/java/org/alderyard/testkit/standin/LogEntry.java
+++ b/alderyard-testkit/src/main/java/org/alderyard/testkit/standin/LogEntry.java
@@ -9,11 +9,11 @@
 import org.alderyard.common.id.Position;
 
 /**
- * One entry of a stand-in's log.
+ * A log entry of a stand-in server.
  *
- * @param position its place
- * @param writes the statements of one transaction
- * @param result the answer that was given
+ * @param position the term and index of the entry
+ * @param writes the writes of one transaction
+ * @param result the result returned to the caller
  */
 record LogEntry(Position position, List<BackendStatement> writes, JsonNode result) {
 
@@ -36,8 +36,11 @@
     return writes.isEmpty() ? Optional.empty() : writes.get(0).ledgerKey();
   }
 
-  /** Returns whether these are the same statements; a resend may carry a later term. */
-  boolean hasContentOf(List<BackendStatement> others) {
+  /**
+   * Returns whether the statements are equal. Terms are ignored, since a resend may carry a later
+   * term.
+   */
+  boolean hasSameContent(List<BackendStatement> others) {
     return writes.stream()
         .map(LogEntry::content)
         .toList()
--- a/alderyard-testkit/src/main/java/org/alderyard/testkit/standin/LogFile.java
+++ b/alderyard-testkit/src/main/java/org/alderyard/testkit/standin/LogFile.java
@@ -13,7 +13,7 @@
 import org.alderyard.backend.http.BackendJson;
 import org.alderyard.common.view.TermStart;
 
-/** The log of a stand-in as JSON lines, so that it outlives a killed process. */
+/** Stores the log of a stand-in server as JSON lines, so that the log survives a killed process. */
 final class LogFile {
   private final Optional<Path> path;
   private BufferedWriter writer;
@@ -35,8 +35,8 @@
       }
       writer =
           Files.newBufferedWriter(path.get(), StandardOpenOption.CREATE, StandardOpenOption.APPEND);
-    } catch (IOException unusable) {
-      throw new UncheckedIOException(unusable);
+    } catch (IOException failure) {
+      throw new UncheckedIOException(failure);
     }
   }
 
@@ -74,8 +74,8 @@
     try {
       writer.close();
       writer = Files.newBufferedWriter(path.get(), StandardOpenOption.TRUNCATE_EXISTING);
-    } catch (IOException unusable) {
-      throw new UncheckedIOException(unusable);
+    } catch (IOException failure) {
+      throw new UncheckedIOException(failure);
     }
     term(term);
     starts.forEach(this::append);
@@ -90,8 +90,8 @@
       writer.write(new String(BackendJson.bytes(node), StandardCharsets.UTF_8));
       writer.newLine();
       writer.flush();
-    } catch (IOException unusable) {
-      throw new UncheckedIOException(unusable);
+    } catch (IOException failure) {
+      throw new UncheckedIOException(failure);
     }
   }
 }
--- a/alderyard-testkit/src/main/java/org/alderyard/testkit/standin/PlainHttp.java
+++ b/alderyard-testkit/src/main/java/org/alderyard/testkit/standin/PlainHttp.java
@@ -11,7 +11,7 @@
 import org.alderyard.backend.http.BackendJson;
 import org.alderyard.common.error.AlderyardException;
 
-/** Blocking requests with JSON bodies, for the stand-in's own errands. */
+/** Blocking HTTP client for requests with JSON bodies, used for announcements and replication. */
 final class PlainHttp {
   private static final Duration TIMEOUT = Duration.ofSeconds(2);
   private static final HttpClient CLIENT =
@@ -30,14 +30,14 @@
     try {
       HttpResponse<byte[]> response = CLIENT.send(request, HttpResponse.BodyHandlers.ofByteArray());
       if (response.statusCode() != 200) {
-        throw new IOException(path + " answered " + response.statusCode());
+        throw new IOException(path + " responded with status " + response.statusCode());
       }
       return BackendJson.parse(response.body());
-    } catch (InterruptedException stopped) {
+    } catch (InterruptedException interrupted) {
       Thread.currentThread().interrupt();
-      throw new IOException("stopped", stopped);
-    } catch (AlderyardException unreadable) {
-      throw new IOException(unreadable);
+      throw new IOException("request interrupted", interrupted);
+    } catch (AlderyardException invalidBody) {
+      throw new IOException(invalidBody);
     }
   }
 }
--- a/alderyard-testkit/src/main/java/org/alderyard/testkit/standin/StandInAnnouncer.java
+++ b/alderyard-testkit/src/main/java/org/alderyard/testkit/standin/StandInAnnouncer.java
@@ -7,10 +7,10 @@
 import org.alderyard.backend.ServerRole;
 import org.alderyard.backend.http.BackendJson;
 
-/** Announces the server to one entry host after another, three times in each lease. */
+/** Announces the server to the entry hosts in rotation, three times per lease. */
 final class StandInAnnouncer implements AutoCloseable {
   private static final String PATH = "/v1/announcements";
-  private static final int PER_LEASE = 3;
+  private static final int ANNOUNCEMENTS_PER_LEASE = 3;
 
   private final StandInOptions options;
   private final StandInState state;
@@ -36,22 +36,22 @@
     while (!closed && !options.entryHosts().isEmpty()) {
       announceOnce();
       try {
-        Thread.sleep(options.leaseMillis() / PER_LEASE);
-      } catch (InterruptedException stopped) {
+        Thread.sleep(options.leaseMillis() / ANNOUNCEMENTS_PER_LEASE);
+      } catch (InterruptedException interrupted) {
         return;
       }
     }
   }
 
   private synchronized void announceOnce() {
-    for (int tries = 0; tries < options.entryHosts().size(); tries++) {
+    for (int attempts = 0; attempts < options.entryHosts().size(); attempts++) {
       InetSocketAddress host = options.entryHosts().get(next % options.entryHosts().size());
       next++;
       try {
         PlainHttp.post(host, PATH, announcement());
         return;
       } catch (IOException unreachable) {
-        // The next entry host takes the announcement; the next round tries all again.
+        // Continues with the next entry host; the next round attempts all hosts again.
       }
     }
   }
--- a/alderyard-testkit/src/main/java/org/alderyard/testkit/standin/StandInMain.java
+++ b/alderyard-testkit/src/main/java/org/alderyard/testkit/standin/StandInMain.java
@@ -15,7 +15,7 @@
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
 
-/** Runs one stand-in server as a process of its own. */
+/** Runs a stand-in server in a separate process. */
 public final class StandInMain {
   private static final String DEFAULT_LEASE_MILLIS = "1500";
   private static final String DEFAULT_SLOTS = "5";
@@ -23,7 +23,7 @@
 
   private StandInMain() {}
 
-  /** Starts the server and waits for the end of the process. */
+  /** Starts the server and blocks until the process is terminated. */
   public static void main(String[] args) throws ParseException, InterruptedException {
     CommandLine line = new DefaultParser().parse(options(), args);
     StandInServer server =
--- a/alderyard-testkit/src/main/java/org/alderyard/testkit/standin/StandInOptions.java
+++ b/alderyard-testkit/src/main/java/org/alderyard/testkit/standin/StandInOptions.java
@@ -9,22 +9,22 @@
 import org.alderyard.common.id.ZoneName;
 
 /**
- * How one stand-in server starts.
+ * Start options of a stand-in server.
  *
- * @param server its name
- * @param incarnation grows with each start
- * @param group its group
- * @param zone its availability zone
- * @param address where it listens
- * @param announced where others reach it, if that is another address
- * @param slots statements that run at once
- * @param maxQueued statements that wait for a slot; past it the answer is BUSY
- * @param primary whether it starts as the primary of term 1 when its log is empty
- * @param follow the primary to follow from the start
- * @param ledger whether it records answers under ledger keys
- * @param dataFile where the log outlives the process
- * @param entryHosts the hosts that take announcements
- * @param leaseMillis how long an announcement holds
+ * @param server the id of the server
+ * @param incarnation number that increases with each start
+ * @param group the database group of the server
+ * @param zone the availability zone of the server
+ * @param address the address to listen on
+ * @param announced the address to announce, if it differs from the listen address
+ * @param slots maximum number of concurrent statements
+ * @param maxQueued maximum number of statements queued for a slot; further ones receive BUSY
+ * @param primary whether the server starts as the primary of term 1 if its log is empty
+ * @param follow the primary to replicate from after the start
+ * @param ledger whether results of writes are recorded by ledger key
+ * @param dataFile the file that persists the log; empty to keep the log in memory
+ * @param entryHosts the hosts that receive announcements
+ * @param leaseMillis validity of an announcement, in milliseconds
  */
 public record StandInOptions(
     ServerId server,
--- a/alderyard-testkit/src/main/java/org/alderyard/testkit/standin/StandInReplication.java
+++ b/alderyard-testkit/src/main/java/org/alderyard/testkit/standin/StandInReplication.java
@@ -10,14 +10,14 @@
 import java.util.Optional;
 import org.alderyard.backend.http.BackendJson;
 
-/** Fetches the primary's entries and applies them after the set lag. */
+/** Fetches log entries from the primary and applies them after the configured lag. */
 final class StandInReplication implements AutoCloseable {
   private static final long IDLE_MILLIS = 20;
   private static final long FETCH_WAIT_MILLIS = 200;
 
   private final StandInState state;
   private final StandInSwitches switches;
-  private final Deque<Held> waiting = new ArrayDeque<>();
+  private final Deque<ReceivedEntries> unapplied = new ArrayDeque<>();
   private final Thread fetcher;
   private final Thread applier;
   private volatile boolean closed;
@@ -47,7 +47,7 @@
   private boolean fetch(InetSocketAddress primary) {
     JsonNode request =
         BackendJson.object()
-            .put("from", Math.max(0, state.heldCount()))
+            .put("from", Math.max(0, state.logSize()))
             .put("waitMillis", FETCH_WAIT_MILLIS);
     try {
       JsonNode answer = PlainHttp.post(primary, StandInServer.LOG_PATH, request);
@@ -58,9 +58,9 @@
       List<LogEntry> entries = new ArrayList<>();
       answer.path("entries").forEach(entry -> entries.add(LogEntry.fromJson(entry)));
       state.replicate(primary, report.termStarts(), entries);
-      synchronized (waiting) {
-        waiting.add(new Held(state.heldCount(), System.nanoTime()));
-        waiting.notifyAll();
+      synchronized (unapplied) {
+        unapplied.add(new ReceivedEntries(state.logSize(), System.nanoTime()));
+        unapplied.notifyAll();
       }
       return true;
     } catch (IOException unreachable) {
@@ -70,20 +70,20 @@
 
   private void applyLoop() {
     while (!closed) {
-      Held next;
-      synchronized (waiting) {
-        while (waiting.isEmpty() && !closed) {
+      ReceivedEntries next;
+      synchronized (unapplied) {
+        while (unapplied.isEmpty() && !closed) {
           try {
-            waiting.wait(FETCH_WAIT_MILLIS);
-          } catch (InterruptedException stopped) {
+            unapplied.wait(FETCH_WAIT_MILLIS);
+          } catch (InterruptedException interrupted) {
             return;
           }
         }
-        next = waiting.poll();
+        next = unapplied.poll();
       }
       if (next != null) {
-        long heldMillis = (System.nanoTime() - next.sinceNanos) / 1_000_000;
-        sleep(switches.applyLagMillis - heldMillis);
+        long elapsedMillis = (System.nanoTime() - next.receivedNanos) / 1_000_000;
+        sleep(switches.applyLagMillis - elapsedMillis);
         state.applyUpTo(next.count);
       }
     }
@@ -95,7 +95,7 @@
     }
     try {
       Thread.sleep(millis);
-    } catch (InterruptedException stopped) {
+    } catch (InterruptedException interrupted) {
       Thread.currentThread().interrupt();
     }
   }
@@ -107,5 +107,5 @@
     applier.interrupt();
   }
 
-  private record Held(int count, long sinceNanos) {}
+  private record ReceivedEntries(int count, long receivedNanos) {}
 }
--- a/alderyard-testkit/src/main/java/org/alderyard/testkit/standin/StandInServer.java
+++ b/alderyard-testkit/src/main/java/org/alderyard/testkit/standin/StandInServer.java
@@ -24,32 +24,33 @@
 import org.alderyard.backend.http.BackendJson;
 import org.alderyard.backend.http.BackendPaths;
 
-/** A backend server that speaks the protocol and replicates asynchronously. */
+/** Backend server that implements the protocol and replicates asynchronously. */
 public final class StandInServer implements AutoCloseable {
-  /** The path of a replica's fetch. */
+  /** Path from which replicas fetch log entries. */
   static final String LOG_PATH = "/stand-in/log";
 
   private static final String SWITCHES_PATH = "/stand-in/switches";
   private static final AttachmentKey<OpenTransaction> TRANSACTION =
       AttachmentKey.create(OpenTransaction.class);
-  private static final AttachmentKey<Sent> LAST_SENT = AttachmentKey.create(Sent.class);
+  private static final AttachmentKey<SentResponse> LAST_RESPONSE =
+      AttachmentKey.create(SentResponse.class);
   private static final int WORKER_THREADS = 24;
-  private static final int MAX_FETCHED = 2_000;
-  private static final long QUEUE_MILLIS = 5_000;
+  private static final int MAX_FETCHED_ENTRIES = 2_000;
+  private static final long MAX_QUEUE_MILLIS = 5_000;
 
   private final StandInOptions options;
   private final StandInSwitches switches = new StandInSwitches();
   private final StandInState state;
   private final Semaphore slots;
-  private final AtomicInteger answers = new AtomicInteger();
+  private final AtomicInteger statementResponses = new AtomicInteger();
   private final AtomicInteger statements = new AtomicInteger();
   private final AtomicInteger concurrent = new AtomicInteger();
-  private final AtomicInteger mostConcurrent = new AtomicInteger();
+  private final AtomicInteger maxConcurrent = new AtomicInteger();
   private final Undertow http;
   private final StandInReplication replication;
   private final StandInAnnouncer announcer;
 
-  /** Starts the server. */
+  /** Binds the listen address and starts replication and announcements. */
   public StandInServer(StandInOptions options) {
     this.options = options;
     state = new StandInState(options, new LogFile(options.dataFile()));
@@ -67,22 +68,22 @@
     announcer = new StandInAnnouncer(options, state);
   }
 
-  /** Returns where the server listens. */
+  /** Returns the address that the server is bound to. */
   public InetSocketAddress address() {
     return (InetSocketAddress) http.getListenerInfo().get(0).getAddress();
   }
 
-  /** Returns the faults that can be set. */
+  /** Returns the faults of this server, for changes at run time. */
   public StandInSwitches switches() {
     return switches;
   }
 
-  /** Returns the most statements that were at the server at once, in slots or waiting. */
+  /** Returns the highest number of concurrent statements so far, running or queued. */
   public int mostConcurrentStatements() {
-    return mostConcurrent.get();
+    return maxConcurrent.get();
   }
 
-  /** Announces that the server leaves. */
+  /** Announces immediately that the server is leaving. */
   public void leave() {
     announcer.leave();
   }
@@ -110,9 +111,9 @@
       JsonNode request = body.length == 0 ? BackendJson.object() : BackendJson.parse(body);
       JsonNode answer = answer(exchange, request);
       send(exchange, 200, answer);
-    } catch (BackendException refused) {
-      send(exchange, 409, BackendJson.refusal(refused));
-    } catch (InterruptedException stopped) {
+    } catch (BackendException refusal) {
+      send(exchange, 409, BackendJson.refusal(refusal));
+    } catch (InterruptedException interrupted) {
       Thread.currentThread().interrupt();
       closeConnection(exchange);
     }
@@ -120,9 +121,9 @@
 
   private JsonNode answer(HttpServerExchange exchange, JsonNode body) throws InterruptedException {
     return switch (exchange.getRequestPath()) {
-      case BackendPaths.STATEMENTS -> inSlot(() -> statement(exchange, body));
+      case BackendPaths.STATEMENTS -> runCounted(() -> statement(exchange, body));
       case BackendPaths.BEGIN -> begin(exchange, body.path("term").asLong());
-      case BackendPaths.COMMIT -> inSlot(() -> commit(exchange));
+      case BackendPaths.COMMIT -> runCounted(() -> commit(exchange));
       case BackendPaths.ROLLBACK -> {
         exchange.getConnection().removeAttachment(TRANSACTION);
         yield BackendJson.object();
@@ -137,7 +138,7 @@
       case BackendPaths.FENCE -> BackendJson.report(state.fence(body.path("term").asLong()));
       case BackendPaths.PROMOTE -> BackendJson.report(state.promote(body.path("term").asLong()));
       case BackendPaths.FOLLOW -> follow(body);
-      case LOG_PATH -> fetched(body);
+      case LOG_PATH -> fetchEntries(body);
       case SWITCHES_PATH -> {
         switches.set(body);
         if (body.path("leave").asBoolean()) {
@@ -149,20 +150,21 @@
     };
   }
 
-  private JsonNode inSlot(java.util.function.Supplier<JsonNode> work) throws InterruptedException {
-    mostConcurrent.accumulateAndGet(concurrent.incrementAndGet(), Math::max);
+  private JsonNode runCounted(java.util.function.Supplier<JsonNode> work)
+      throws InterruptedException {
+    maxConcurrent.accumulateAndGet(concurrent.incrementAndGet(), Math::max);
     try {
-      return inFreeSlot(work);
+      return runInSlot(work);
     } finally {
       concurrent.decrementAndGet();
     }
   }
 
-  private JsonNode inFreeSlot(java.util.function.Supplier<JsonNode> work)
+  private JsonNode runInSlot(java.util.function.Supplier<JsonNode> work)
       throws InterruptedException {
     if (slots.getQueueLength() >= options.maxQueued()
-        || !slots.tryAcquire(QUEUE_MILLIS, TimeUnit.MILLISECONDS)) {
-      throw new BackendException(Refusal.BUSY, "all slots are taken");
+        || !slots.tryAcquire(MAX_QUEUE_MILLIS, TimeUnit.MILLISECONDS)) {
+      throw new BackendException(Refusal.BUSY, "no slot is available");
     }
     try {
       if (switches.serviceMillis > 0) {
@@ -177,9 +179,10 @@
   private JsonNode statement(HttpServerExchange exchange, JsonNode body) {
     statements.incrementAndGet();
     BackendStatement statement = BackendJson.statement(body);
-    OpenTransaction open = exchange.getConnection().getAttachment(TRANSACTION);
-    if (open != null) {
-      return BackendJson.answer(new BackendAnswer(open.run(statement), state.report().applied()));
+    OpenTransaction transaction = exchange.getConnection().getAttachment(TRANSACTION);
+    if (transaction != null) {
+      return BackendJson.answer(
+          new BackendAnswer(transaction.run(statement), state.report().applied()));
     }
     return BackendJson.answer(
         statement.kind() == StatementKind.READ
@@ -191,20 +194,20 @@
     state.requirePrimary(term);
     exchange
         .getConnection()
-        .putAttachment(TRANSACTION, new OpenTransaction(term, state.copyOfData()));
+        .putAttachment(TRANSACTION, new OpenTransaction(term, state.copyData()));
     return BackendJson.object();
   }
 
   private JsonNode commit(HttpServerExchange exchange) {
-    OpenTransaction open = exchange.getConnection().removeAttachment(TRANSACTION);
-    if (open == null) {
+    OpenTransaction transaction = exchange.getConnection().removeAttachment(TRANSACTION);
+    if (transaction == null) {
       throw new BackendException(Refusal.NO_TRANSACTION, "no transaction is open");
     }
-    if (open.writes.isEmpty()) {
+    if (transaction.writes.isEmpty()) {
       return BackendJson.answer(
           new BackendAnswer(JsonNodeFactory.instance.nullNode(), state.report().applied()));
     }
-    return BackendJson.answer(state.write(open.writes, open.term));
+    return BackendJson.answer(state.write(transaction.writes, transaction.term));
   }
 
   private JsonNode follow(JsonNode body) {
@@ -213,13 +216,13 @@
     return BackendJson.report(state.follow(body.path("term").asLong(), address));
   }
 
-  private JsonNode fetched(JsonNode body) throws InterruptedException {
+  private JsonNode fetchEntries(JsonNode body) throws InterruptedException {
     int from = body.path("from").asInt();
     state.await(
         new org.alderyard.common.id.Position(0, from + 1L), true, body.path("waitMillis").asLong());
     var answer = BackendJson.report(state.report());
     var entries = answer.putArray("entries");
-    state.entriesFrom(from, MAX_FETCHED).forEach(entry -> entries.add(entry.toJson()));
+    state.entriesFrom(from, MAX_FETCHED_ENTRIES).forEach(entry -> entries.add(entry.toJson()));
     return answer;
   }
 
@@ -227,21 +230,21 @@
     boolean statement = exchange.getRequestPath().equals(BackendPaths.STATEMENTS);
     int nth = switches.dropEveryNth;
     if (switches.unreachable && !exchange.getRequestPath().equals(SWITCHES_PATH)
-        || (statement && nth > 0 && answers.incrementAndGet() % nth == 0)) {
+        || (statement && nth > 0 && statementResponses.incrementAndGet() % nth == 0)) {
       closeConnection(exchange);
       return;
     }
     if (switches.answerDelayMillis > 0) {
       try {
         Thread.sleep(switches.answerDelayMillis);
-      } catch (InterruptedException stopped) {
+      } catch (InterruptedException interrupted) {
         Thread.currentThread().interrupt();
       }
     }
-    Sent sent = new Sent(number(exchange), BackendJson.bytes(answer));
-    Sent before = exchange.getConnection().putAttachment(LAST_SENT, sent);
-    if (statement && switches.repeatAnswers && before != null) {
-      sent = before;
+    SentResponse sent = new SentResponse(number(exchange), BackendJson.bytes(answer));
+    SentResponse previous = exchange.getConnection().putAttachment(LAST_RESPONSE, sent);
+    if (statement && switches.repeatAnswers && previous != null) {
+      sent = previous;
     }
     exchange.setStatusCode(status);
     exchange.getResponseHeaders().put(BackendPaths.REQUEST_NUMBER, sent.number);
@@ -264,8 +267,8 @@
     try {
       exchange.getOutputStream().write(Arrays.copyOf(body, body.length / 2));
       exchange.getOutputStream().flush();
-    } catch (IOException broken) {
-      // The caller is gone: the connection is closed below in any case.
+    } catch (IOException failure) {
+      // The caller has disconnected; the connection is closed below in any case.
     }
     closeConnection(exchange);
   }
@@ -274,10 +277,10 @@
     org.xnio.IoUtils.safeClose(exchange.getConnection());
   }
 
-  /** An answer and the number of its request. */
-  private record Sent(String number, byte[] body) {}
+  /** A response with the number of its request. */
+  private record SentResponse(String number, byte[] body) {}
 
-  /** The writes of a transaction, kept until its commit, over a copy of the data. */
+  /** An open transaction: buffers writes until commit and runs statements on a copy of the data. */
   private static final class OpenTransaction {
     private final long term;
     private final KeyValues data;
--- a/alderyard-testkit/src/main/java/org/alderyard/testkit/standin/StandInState.java
+++ b/alderyard-testkit/src/main/java/org/alderyard/testkit/standin/StandInState.java
@@ -17,7 +17,10 @@
 import org.alderyard.common.id.Position;
 import org.alderyard.common.view.TermStart;
 
-/** The term, role, log and data of a stand-in; every method holds its one lock. */
+/**
+ * Term, role, log and data of a stand-in server. Thread-safe: all methods synchronize on this
+ * object.
+ */
 final class StandInState {
   private final StandInOptions options;
   private final LogFile file;
@@ -68,17 +71,20 @@
     return new BackendAnswer(data.run(statement), positionAt(applied));
   }
 
-  /** Runs the writes of one transaction as one entry, or answers a resend from the ledger. */
+  /**
+   * Runs the writes of a transaction as one log entry. A resend of recorded writes returns the
+   * result from the ledger.
+   */
   synchronized BackendAnswer write(List<BackendStatement> writes, long writeTerm) {
     requirePrimary(writeTerm);
     Optional<LedgerKey> key =
         options.ledger() && !writes.isEmpty() ? writes.get(0).ledgerKey() : Optional.empty();
     if (key.isPresent() && ledger.containsKey(key.get())) {
       LogEntry earlier = ledger.get(key.get());
-      if (!earlier.hasContentOf(writes)) {
+      if (!earlier.hasSameContent(writes)) {
         throw new BackendException(
             Refusal.REQUEST_ID_REUSED,
-            "request id " + key.get().request() + " names another write");
+            "request id " + key.get().request() + " is in use for another write");
       }
       return new BackendAnswer(earlier.result(), earlier.position());
     }
@@ -89,19 +95,19 @@
     }
     data = after;
     LogEntry entry = new LogEntry(new Position(term, log.size() + 1L), writes, result);
-    hold(entry);
+    appendToLog(entry);
     applied = log.size();
     notifyAll();
     return new BackendAnswer(result, entry.position());
   }
 
-  private void hold(LogEntry entry) {
+  private void appendToLog(LogEntry entry) {
     log.add(entry);
     entry.ledgerKey().ifPresent(key -> ledger.put(key, entry));
     file.append(entry);
   }
 
-  synchronized KeyValues copyOfData() {
+  synchronized KeyValues copyData() {
     return data.copy();
   }
 
@@ -111,14 +117,14 @@
     }
     if (writeTerm != term) {
       throw new BackendException(
-          Refusal.TERM_MISMATCH, "term " + writeTerm + "; the server is at " + term);
+          Refusal.TERM_MISMATCH, "write at term " + writeTerm + "; the server is at term " + term);
     }
   }
 
   synchronized ServerReport fence(long newTerm) {
     if (newTerm < term) {
       throw new BackendException(
-          Refusal.TERM_MISMATCH, "fence at " + newTerm + "; the server is at " + term);
+          Refusal.TERM_MISMATCH, "fence at term " + newTerm + "; the server is at term " + term);
     }
     if (newTerm > term) {
       term = newTerm;
@@ -134,7 +140,7 @@
     if (newTerm != term || role == ServerRole.REPLICA) {
       throw new BackendException(
           Refusal.TERM_MISMATCH,
-          "promotion at " + newTerm + "; the server is at " + term + " as " + role);
+          "promotion at term " + newTerm + "; the server is at term " + term + " as " + role);
     }
     if (role == ServerRole.FENCED) {
       applyUpTo(log.size());
@@ -148,7 +154,7 @@
   synchronized ServerReport follow(long newTerm, InetSocketAddress newPrimary) {
     if (newTerm < term || (newTerm == term && role == ServerRole.PRIMARY)) {
       throw new BackendException(
-          Refusal.TERM_MISMATCH, "follow at " + newTerm + "; the server is at " + term);
+          Refusal.TERM_MISMATCH, "follow at term " + newTerm + "; the server is at term " + term);
     }
     term = newTerm;
     file.term(term);
@@ -163,22 +169,23 @@
     file.append(start);
   }
 
-  /** Returns whom to fetch from, if this server is a replica. */
+  /** Returns the primary to replicate from; empty unless this server is a replica. */
   synchronized Optional<InetSocketAddress> primary() {
     return primary;
   }
 
   /**
-   * Takes entries of the primary; drops first what the primary's term history shows as lost.
+   * Appends entries of the primary. Entries that diverge from the primary's term history are
+   * removed first.
    *
-   * <p>The entries count only while this server still follows the same primary in the same term.
+   * <p>The entries are ignored unless this server is a replica of the given primary.
    */
   synchronized void replicate(
       InetSocketAddress from, List<TermStart> primaryStarts, List<LogEntry> entries) {
     if (role != ServerRole.REPLICA || !primary.equals(Optional.of(from))) {
       return;
     }
-    dropLost(primaryStarts);
+    truncateDiverged(primaryStarts);
     for (TermStart start : primaryStarts) {
       if (!termStarts.contains(start)) {
         addTermStart(start);
@@ -186,19 +193,19 @@
     }
     for (LogEntry entry : entries) {
       if (entry.position().index() == log.size() + 1L) {
-        hold(entry);
+        appendToLog(entry);
       }
     }
     notifyAll();
   }
 
-  private void dropLost(List<TermStart> primaryStarts) {
+  private void truncateDiverged(List<TermStart> primaryStarts) {
     long keep = log.size();
     for (TermStart start : primaryStarts) {
-      boolean older =
+      boolean diverged =
           log.size() > start.startIndex()
               && log.get((int) start.startIndex()).position().term() < start.term();
-      if (older) {
+      if (diverged) {
         keep = Math.min(keep, start.startIndex());
       }
     }
@@ -210,10 +217,10 @@
     file.rewrite(log, termStarts);
     ledger.clear();
     log.forEach(entry -> entry.ledgerKey().ifPresent(key -> ledger.put(key, entry)));
-    int reapply = Math.min(applied, log.size());
+    int reappliedCount = Math.min(applied, log.size());
     data = new KeyValues();
     applied = 0;
-    applyUpTo(reapply);
+    applyUpTo(reappliedCount);
   }
 
   synchronized void applyUpTo(int count) {
@@ -226,7 +233,7 @@
     notifyAll();
   }
 
-  synchronized int heldCount() {
+  synchronized int logSize() {
     return log.size();
   }
 
@@ -235,16 +242,19 @@
     return List.copyOf(log.subList(start, Math.min(log.size(), start + max)));
   }
 
-  /** Blocks until the entry at this index is held or applied, or the time is over. */
+  /**
+   * Blocks until the log contains, or has applied, the entry of the position or the wait time has
+   * elapsed.
+   */
   synchronized ServerReport await(Position position, boolean held, long waitMillis)
       throws InterruptedException {
-    long end = System.nanoTime() + waitMillis * 1_000_000;
+    long deadlineNanos = System.nanoTime() + waitMillis * 1_000_000;
     while ((held ? log.size() : applied) < position.index()) {
-      long leftMillis = (end - System.nanoTime()) / 1_000_000;
-      if (leftMillis <= 0) {
+      long remainingMillis = (deadlineNanos - System.nanoTime()) / 1_000_000;
+      if (remainingMillis <= 0) {
         break;
       }
-      wait(leftMillis);
+      wait(remainingMillis);
     }
     return report();
   }
--- a/alderyard-testkit/src/main/java/org/alderyard/testkit/standin/StandInSwitches.java
+++ b/alderyard-testkit/src/main/java/org/alderyard/testkit/standin/StandInSwitches.java
@@ -2,33 +2,33 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** The faults of a stand-in server that a test can set while it runs. */
+/** Faults of a running stand-in server that a test can set. */
 public final class StandInSwitches {
-  /** How long a replica waits before it fetches new entries, in milliseconds. */
+  /** Delay before a replica fetches new entries, in milliseconds. */
   volatile long shipLagMillis;
 
-  /** How long a held entry waits before reads show it, in milliseconds. */
+  /** Delay between receipt and application of a log entry, in milliseconds. */
   volatile long applyLagMillis;
 
-  /** How long each answer is held back, in milliseconds. */
+  /** Delay of each response, in milliseconds. */
   volatile long answerDelayMillis;
 
-  /** How long a statement occupies its slot, in milliseconds. */
+  /** Time for which a statement occupies its slot, in milliseconds. */
   volatile long serviceMillis;
 
-  /** Every n-th answer of a statement is dropped with its connection; 0 for none. */
+  /** Drops every n-th statement response and closes its connection; 0 drops none. */
   volatile int dropEveryNth;
 
-  /** Whether every answer is cut off in the middle. */
+  /** Whether every statement response is truncated and its connection closed. */
   volatile boolean truncateAnswers;
 
-  /** Whether a statement is answered with the answer before it on its connection. */
+  /** Whether a statement receives the previous response of its connection. */
   volatile boolean repeatAnswers;
 
-  /** Whether every connection is closed before its request is read: a cut network. */
+  /** Whether connections are closed before the request is read, as in a network partition. */
   volatile boolean unreachable;
 
-  /** Sets the switches that the body names and leaves the others. */
+  /** Sets the faults contained in the body; the other faults keep their values. */
   public void set(JsonNode body) {
     shipLagMillis = body.path("shipLagMillis").asLong(shipLagMillis);
     applyLagMillis = body.path("applyLagMillis").asLong(applyLagMillis);
--- a/alderyard-testkit/src/main/java/org/alderyard/testkit/standin/package-info.java
+++ b/alderyard-testkit/src/main/java/org/alderyard/testkit/standin/package-info.java
@@ -1,2 +1,2 @@
-/** A stand-in for a backend server: a small replicated key-value store behind the protocol. */
+/** Stand-in backend server: a small replicated key-value store that implements the protocol. */
 package org.alderyard.testkit.standin;
--- a/alderyard-testkit/src/test/java/org/alderyard/testkit/history/HistoryCheckerTest.java
+++ b/alderyard-testkit/src/test/java/org/alderyard/testkit/history/HistoryCheckerTest.java
@@ -10,12 +10,12 @@
 import org.alderyard.testkit.history.Violation.Promise;
 import org.junit.jupiter.api.Test;
 
-/** Each promise is broken once, by the smallest history that breaks it. */
+/** Violates each guarantee once, with a minimal history. */
 class HistoryCheckerTest {
   private static final long MILLI = 1_000_000;
 
   @Test
-  void historyThatKeepsAllPromisesIsAccepted() {
+  void historyWithoutViolationIsAccepted() {
     var history =
         List.of(
             append("s1", "a", Result.OK, 0),
@@ -28,29 +28,31 @@
   }
 
   @Test
-  void lostWriteIsFound() {
-    assertFound(Promise.NO_WRITE_LOST, List.of(), append("s1", "a", Result.OK, 0));
+  void reportsLostWrite() {
+    assertViolation(Promise.NO_WRITE_LOST, List.of(), append("s1", "a", Result.OK, 0));
   }
 
   @Test
-  void doubledWriteIsFoundEvenIfItsOutcomeWasUnknown() {
-    assertFound(Promise.NO_WRITE_DOUBLED, List.of("a", "a"), append("s1", "a", Result.UNKNOWN, 0));
+  void reportsDuplicateWriteWithUnknownOutcome() {
+    assertViolation(
+        Promise.NO_WRITE_DOUBLED, List.of("a", "a"), append("s1", "a", Result.UNKNOWN, 0));
   }
 
   @Test
-  void writeThatRanAlthoughItWasRefusedIsFound() {
-    assertFound(Promise.NOT_RUN_DID_NOT_RUN, List.of("a"), append("s1", "a", Result.NOT_RUN, 0));
+  void reportsRefusedWriteThatRan() {
+    assertViolation(
+        Promise.NOT_RUN_DID_NOT_RUN, List.of("a"), append("s1", "a", Result.NOT_RUN, 0));
   }
 
   @Test
-  void sessionThatMissesItsOwnWriteIsFound() {
-    assertFound(
+  void reportsSessionThatMissesItsOwnWrite() {
+    assertViolation(
         Promise.READ_YOUR_WRITES, List.of("a"), append("s1", "a", Result.OK, 0), read("s1", 4));
   }
 
   @Test
-  void sessionThatLosesSightOfAnothersWriteIsFound() {
-    assertFound(
+  void reportsNonMonotonicReads() {
+    assertViolation(
         Promise.MONOTONIC_READS,
         List.of("a"),
         append("s1", "a", Result.OK, 0),
@@ -59,8 +61,8 @@
   }
 
   @Test
-  void readOlderThanItsBoundIsFound() {
-    assertFound(
+  void reportsReadBeyondItsMaximumStaleness() {
+    assertViolation(
         Promise.BOUNDED_STALENESS,
         List.of("a"),
         append("s1", "a", Result.OK, 0),
@@ -68,18 +70,19 @@
   }
 
   @Test
-  void valueOfAnotherKeyIsFound() {
-    assertFound(
+  void reportsValueOfAnotherKey() {
+    assertViolation(
         Promise.OWN_ANSWER,
         List.of("a"),
         append("s1", "a", Result.OK, 0),
         read("s2", 4, "a", "of-another-key"));
   }
 
-  private static void assertFound(
+  private static void assertViolation(
       Promise promise, List<String> finalList, Operation... operations) {
-    var found = HistoryChecker.check(List.of(operations), Map.of("k", finalList));
-    assertThat(found.stream().map(Violation::promise).distinct().toList()).containsExactly(promise);
+    var violations = HistoryChecker.check(List.of(operations), Map.of("k", finalList));
+    assertThat(violations.stream().map(Violation::promise).distinct().toList())
+        .containsExactly(promise);
   }
 
   private static Operation append(String session, String value, Result result, long millis) {
@@ -96,15 +99,15 @@
   }
 
   private static Operation read(String session, long millis, String... observed) {
-    return anyRead(session, millis, OptionalLong.empty(), observed);
+    return readOperation(session, millis, OptionalLong.empty(), observed);
   }
 
   private static Operation bounded(
       String session, long millis, long maxStalenessMillis, String... observed) {
-    return anyRead(session, millis, OptionalLong.of(maxStalenessMillis), observed);
+    return readOperation(session, millis, OptionalLong.of(maxStalenessMillis), observed);
   }
 
-  private static Operation anyRead(
+  private static Operation readOperation(
       String session, long millis, OptionalLong maxStalenessMillis, String... observed) {
     return new Operation(
         session,
--- a/alderyard-testkit/src/test/java/org/alderyard/testkit/net/FreePortsTest.java
+++ b/alderyard-testkit/src/test/java/org/alderyard/testkit/net/FreePortsTest.java
@@ -12,10 +12,10 @@
 class FreePortsTest {
 
   @Test
-  void outgoingConnectionsNeverTakePortsOfLaterProcesses() throws Exception {
-    // The demonstration took the ports of its 24 processes from the system, which deals them out
-    // of the range of outgoing connections. Before the last server listened, a connection of a
-    // host that was up already had got its port; the server ended and the start was given up.
+  void allocatedPortsAreBelowTheEphemeralRange() throws Exception {
+    // Guards against allocation from the ephemeral range: while the 24 processes of the demo
+    // start, an outgoing connection of a running host can be assigned the port of a server that
+    // does not listen yet. That server then fails to bind, and the start of the demo is aborted.
     try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         Socket outgoing = new Socket(InetAddress.getLoopbackAddress(), listener.getLocalPort())) {
       for (int i = 0; i < 100; i++) {
@@ -25,17 +25,17 @@
   }
 
   @Test
-  void dealsEachPortOnce() {
-    Set<Integer> dealt = new HashSet<>();
+  void allocatesEachPortOnce() {
+    Set<Integer> allocated = new HashSet<>();
     for (int i = 0; i < 1_000; i++) {
-      assertThat(dealt.add(FreePorts.next())).isTrue();
+      assertThat(allocated.add(FreePorts.next())).isTrue();
     }
   }
 
   @Test
-  void passesOverPortsInUse() throws Exception {
-    int before = FreePorts.next();
-    try (ServerSocket inUse = new ServerSocket(before + 1, 1, InetAddress.getLoopbackAddress())) {
+  void skipsPortsInUse() throws Exception {
+    int previous = FreePorts.next();
+    try (ServerSocket inUse = new ServerSocket(previous + 1, 1, InetAddress.getLoopbackAddress())) {
       assertThat(FreePorts.next()).isNotEqualTo(inUse.getLocalPort());
     }
   }
--- a/alderyard-testkit/src/test/java/org/alderyard/testkit/standin/AnswerFaultsTest.java
+++ b/alderyard-testkit/src/test/java/org/alderyard/testkit/standin/AnswerFaultsTest.java
@@ -31,9 +31,9 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** A faulty answer is an error of its own request, and never the answer of another one. */
+/** A faulty response fails its own request and is never returned for another request. */
 class AnswerFaultsTest {
-  private static final Duration LONG = Duration.ofSeconds(30);
+  private static final Duration LONG_TIMEOUT = Duration.ofSeconds(30);
 
   private WorkerPool workers;
   private XnioWorker ioWorker;
@@ -61,7 +61,8 @@
                 Optional.empty(),
                 List.of(),
                 1_500));
-    connection = new HttpConnector(ioWorker, workers).connect(server.address(), LONG).join();
+    connection =
+        new HttpConnector(ioWorker, workers).connect(server.address(), LONG_TIMEOUT).join();
     write("a", "first").join();
   }
 
@@ -73,61 +74,63 @@
     workers.close();
   }
 
-  /** Half of an answer comes, then the connection ends: a list of orders must not be cut short. */
+  /** Guards against truncated results: the connection closes after half of the response. */
   @Test
-  void truncatedAnswerIsAnError() {
+  void truncatedResponseIsAnError() {
     server.switches().set(BackendJson.object().put("truncateAnswers", true));
 
-    assertDoubt(failureOf(write("a", "second")), ErrorCode.CONNECTION_LOST);
+    assertUnknownOutcome(failureOf(write("a", "second")), ErrorCode.CONNECTION_LOST);
   }
 
   /**
-   * The answer comes after its caller has given up. On a kept connection the next request would
-   * read it as its own, and a customer would see another one's order.
+   * Guards against mixed-up responses: the response arrives after its request has timed out. If the
+   * connection stayed open, the next request would receive the late response as its own.
    */
   @Test
-  void lateAnswerClosesItsConnection() {
+  void lateResponseClosesItsConnection() {
     server.switches().set(BackendJson.object().put("answerDelayMillis", 500));
 
-    assertDoubt(failureOf(run("a", "late", Duration.ofMillis(20))), ErrorCode.DEADLINE_EXCEEDED);
+    assertUnknownOutcome(
+        failureOf(run("a", "late", Duration.ofMillis(20))), ErrorCode.DEADLINE_EXCEEDED);
   }
 
-  /** The server's answer is dropped with its connection after the statement ran. */
+  /** The connection closes without a response after the statement ran. */
   @Test
-  void droppedAnswerIsUnknown() {
+  void droppedResponseIsUnknown() {
     server.switches().set(BackendJson.object().put("dropEveryNth", 1));
 
-    assertDoubt(failureOf(write("a", "second")), ErrorCode.CONNECTION_LOST);
+    assertUnknownOutcome(failureOf(write("a", "second")), ErrorCode.CONNECTION_LOST);
   }
 
   /**
-   * A faulty server sends the answer of the request before once more. It is whole and well formed;
-   * only the number of its request tells that it belongs to another one.
+   * Guards against mixed-up responses: a faulty server repeats its previous response. The response
+   * is complete and well formed; only its request number shows that it belongs to another request.
    */
   @Test
-  void answerOfAnotherRequestIsRefused() {
+  void responseOfAnotherRequestIsRejected() {
     server.switches().set(BackendJson.object().put("repeatAnswers", true));
 
-    assertDoubt(failureOf(write("b", "second")), ErrorCode.BACKEND_PROTOCOL);
+    assertUnknownOutcome(failureOf(write("b", "second")), ErrorCode.BACKEND_PROTOCOL);
   }
 
-  /** A refusal is a whole answer: the connection is as good as before. */
+  /** A refusal is a complete response, so the connection remains usable. */
   @Test
   void refusalKeepsConnection() {
-    AlderyardException failure = failureOf(connection.run(statement("nonsense", "a", "x"), LONG));
+    AlderyardException failure =
+        failureOf(connection.run(statement("nonsense", "a", "x"), LONG_TIMEOUT));
 
     assertThat(failure.outcome()).isEqualTo(Outcome.FAILED);
     assertThat(connection.usable()).isTrue();
   }
 
-  private void assertDoubt(AlderyardException failure, ErrorCode code) {
+  private void assertUnknownOutcome(AlderyardException failure, ErrorCode code) {
     assertThat(failure.code()).isEqualTo(code);
     assertThat(failure.outcome()).isEqualTo(Outcome.OUTCOME_UNKNOWN);
     assertThat(connection.usable()).isFalse();
   }
 
   private CompletableFuture<BackendAnswer> write(String key, String value) {
-    return run(key, value, LONG);
+    return run(key, value, LONG_TIMEOUT);
   }
 
   private CompletableFuture<BackendAnswer> run(String key, String value, Duration timeout) {
