--- a/bin/launch.sh
+++ b/bin/launch.sh
@@ -1,4 +1,4 @@
-# Shared by the launchers: builds the workspace when its jars are missing.
+# Functions shared by the launch scripts. The project is built if its jars are missing.
 
 build_if_needed() {
   if ! ls "$1"/alderyard-cli/target/alderyard-cli-*.jar >/dev/null 2>&1; then
--- a/bin/platform-hosts.sh
+++ b/bin/platform-hosts.sh
@@ -1,10 +1,10 @@
-# Shared by scripts that start hosts on the loopback as the platform does: each has an address of its
-# own, 127.0.0.1 for host 0 and so on, and all have the same ports. Works in the folder $folder.
+# Functions for scripts that start hosts on the loopback interface as the platform does. Host n has the
+# address 127.0.0.(n+1); all hosts use the same ports. Files are written to the folder $folder.
 
 PLATFORM_PORTS=6
 
-# Prints a port from which on the ports of a host have no listener, below the range of outgoing
-# connections: builds may run side by side.
+# Prints the first of PLATFORM_PORTS consecutive ports without a listener, below the ephemeral range.
+# The first port is random, so that builds can run in parallel.
 platform_free_ports() {
   local base port
   for _ in $(seq 50); do
@@ -19,16 +19,16 @@
   done
 }
 
-# Prints the addresses of port $1 on $2 hosts.
+# Prints a comma-separated list of the addresses of $2 hosts with port $1.
 platform_addresses() {
-  local host text=""
+  local host addresses=""
   for host in $(seq 1 "$2"); do
-    text+="${text:+,}127.0.0.$host:$1"
+    addresses+="${addresses:+,}127.0.0.$host:$1"
   done
-  echo "$text"
+  echo "$addresses"
 }
 
-# Writes the settings of host $1 of $2, all control hosts, with ports from $3 on.
+# Writes the settings file of host $1 of $2 with ports starting at $3; all hosts are control hosts.
 platform_settings() {
   local number=$1 hosts=$2 base=$3 ip="127.0.0.$(($1 + 1))"
   mkdir -p "$folder/data-$number"
--- a/deploy/class-archive.sh
+++ b/deploy/class-archive.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# Writes an archive of the classes that a host loads, so that it starts sooner and with less work.
+# Creates a class data sharing archive for hosts, which reduces start time and processor load.
 #
-# A class or a call site that the archive lacks costs a host that has just started about half a
-# millisecond. So the host that is recorded is one of three, which elect a leader, before servers and
-# callers that work for some seconds, a primary that is lost and a control host that ends; it starts
-# once more than the others, from a log that is there. One group's connections are held by some hosts for all, so
-# that both sides of that are recorded, and on a busy machine it works for longer. Without the archive everything
-# runs as well.
+# Each class or call site missing in the archive costs a newly started host about 0.5 ms. The recorded
+# host therefore runs in a cluster of three that elects a leader and serves callers for some seconds,
+# while a primary is lost and a control host is killed. The recorded host is restarted once, so that it
+# also loads an existing log. The connections to one group are held by some hosts on behalf of all, so
+# that holding and forwarding are both recorded. On a busy machine the run takes longer. Hosts also run
+# without the archive.
 set -u
 cd "$(dirname "$0")/.."
 folder=alderyard-cli/target/class-archive
@@ -18,7 +18,7 @@
 export ALDERYARD_CLUSTER_KEY=only-for-the-archive-of-classes
 flags="-Xms8m -Xmn3m -Xmx96m -Xss256k -XX:-UsePerfData -Dio.netty.allocator.type=unpooled -XX:+UseSerialGC -XX:TieredStopAtLevel=1"
 classes="alderyard-cli/target/host/alderyard-host.jar"
-start() { # starts host $1 with further flags; its id is in $started
+start() { # starts host $1 with additional JVM flags; sets $started to the process id
   local number=$1
   shift
   # shellcheck disable=SC2086
@@ -26,7 +26,8 @@
     >> "$folder/host-$number.log" 2>&1 &
   started=$!
 }
-# Waits until host 0 has acted on a view since line $1 of its log; a busy machine takes its time.
+# Waits until host 0 has logged a view change since line $1 of its log, for 30 s at most; a busy machine
+# needs longer than an idle one.
 await_view() {
   for _ in $(seq 300); do
     tail -n "+$1" "$folder/host-0.log" 2> /dev/null | grep -q event=view-changed && return
