--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/capacity/CallerConnections.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/capacity/CallerConnections.java
@@ -15,17 +15,17 @@
 /**
  * Measures the memory of idle caller connections of a running proxy.
  *
- * <p>Arguments: the proxy's process id and callers' address. Each connection asks for {@code /live}
+ * <p>Arguments: process id and caller address of the proxy. Each connection requests {@code /live}
  * once and stays open.
  */
 public final class CallerConnections {
   private static final int[] COUNTS = {0, 1_000, 3_000, 6_000, 10_000, 15_000};
   private static final long SETTLE_NANOS = TimeUnit.SECONDS.toNanos(6);
-  private static final int ANSWER_BYTES = 512;
+  private static final int MAX_RESPONSE_BYTES = 512;
 
   private CallerConnections() {}
 
-  /** Prints the resident memory for each number of connections, and the fit. */
+  /** Prints the resident memory for each number of connections and the linear fit. */
   public static void main(String[] args) throws IOException {
     if (args.length != 2) {
       System.err.println("usage: CallerConnections PID IP:PORT");
@@ -56,8 +56,8 @@
     SocketChannel channel = SocketChannel.open(proxy);
     String request = "GET /live HTTP/1.1\r\nHost: x\r\n\r\n";
     channel.write(ByteBuffer.wrap(request.getBytes(StandardCharsets.UTF_8)));
-    ByteBuffer answer = ByteBuffer.allocate(ANSWER_BYTES);
-    if (channel.read(answer) <= 0) {
+    ByteBuffer response = ByteBuffer.allocate(MAX_RESPONSE_BYTES);
+    if (channel.read(response) <= 0) {
       throw new IOException("the proxy closed the connection");
     }
     return channel;
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/capacity/LineFit.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/capacity/LineFit.java
@@ -1,32 +1,32 @@
 package org.alderyard.benchmarks.capacity;
 
 /**
- * The straight line through some points by least squares.
+ * Least-squares linear fit.
  *
- * @param slope the growth of y for one more x
- * @param intercept y where x is 0
- * @param worstError the greatest distance of a point from the line, as a share of the greatest y
+ * @param slope the increase of y per unit of x
+ * @param intercept the value of y at x = 0
+ * @param worstError the maximum absolute residual divided by the maximum absolute y
  */
 record LineFit(double slope, double intercept, double worstError) {
 
   static LineFit through(double[] x, double[] y) {
     double meanX = mean(x);
     double meanY = mean(y);
-    double above = 0;
-    double below = 0;
-    double greatest = 0;
+    double productSum = 0;
+    double squareSum = 0;
+    double maxAbsoluteY = 0;
     for (int i = 0; i < x.length; i++) {
-      above += (x[i] - meanX) * (y[i] - meanY);
-      below += (x[i] - meanX) * (x[i] - meanX);
-      greatest = Math.max(greatest, Math.abs(y[i]));
+      productSum += (x[i] - meanX) * (y[i] - meanY);
+      squareSum += (x[i] - meanX) * (x[i] - meanX);
+      maxAbsoluteY = Math.max(maxAbsoluteY, Math.abs(y[i]));
     }
-    double slope = above / below;
+    double slope = productSum / squareSum;
     double intercept = meanY - slope * meanX;
-    double worst = 0;
+    double maxResidual = 0;
     for (int i = 0; i < x.length; i++) {
-      worst = Math.max(worst, Math.abs(y[i] - (intercept + slope * x[i])));
+      maxResidual = Math.max(maxResidual, Math.abs(y[i] - (intercept + slope * x[i])));
     }
-    return new LineFit(slope, intercept, greatest == 0 ? 0 : worst / greatest);
+    return new LineFit(slope, intercept, maxAbsoluteY == 0 ? 0 : maxResidual / maxAbsoluteY);
   }
 
   private static double mean(double[] values) {
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/capacity/ProcessCost.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/capacity/ProcessCost.java
@@ -4,12 +4,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 
-/** Prints the processor time that a running process uses. Arguments: its id and the seconds. */
+/**
+ * Prints the processor time of a running process. Arguments: process id and duration in seconds.
+ */
 public final class ProcessCost {
 
   private ProcessCost() {}
 
-  /** Prints milliseconds of processor time for each second. */
+  /** Prints the milliseconds of processor time used per second. */
   public static void main(String[] args) throws IOException {
     if (args.length != 2) {
       System.err.println("usage: ProcessCost PID SECONDS");
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/capacity/ProcessTime.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/capacity/ProcessTime.java
@@ -4,9 +4,9 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** The processor time that a process has used, as the operating system counts it. */
+/** Reads the processor time used by a process from {@code /proc}. */
 final class ProcessTime {
-  /** The fields after the name of the process; user and system time are the 12th and 13th. */
+  /** Index among the fields after the process name; user and system time are the 12th and 13th. */
   private static final int USER_FIELD = 11;
 
   private static final int SYSTEM_FIELD = 12;
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/capacity/StatementCost.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/capacity/StatementCost.java
@@ -13,10 +13,10 @@
 import org.alderyard.common.time.MonotonicClock;
 
 /**
- * Measures what a statement costs a running proxy in processor time.
+ * Measures the processor time that a running proxy uses per statement.
  *
- * <p>Arguments: the proxy's process id, its callers' address and a pool. The mix is that of the
- * seminar listings; the first run only warms up.
+ * <p>Arguments: process id of the proxy, its caller address and a pool. The workload is the {@code
+ * BRAZOS} mix; the first run is a warm-up.
  */
 public final class StatementCost {
   private static final int[] RATES = {2_000, 0, 250, 500, 1_000, 2_000, 4_000};
@@ -25,7 +25,7 @@
 
   private StatementCost() {}
 
-  /** Prints a line for each rate, and the fit without the warm-up. */
+  /** Prints one line per rate and the linear fit, both without the warm-up. */
   public static void main(String[] args) throws IOException {
     if (args.length != 3) {
       System.err.println("usage: StatementCost PID IP:PORT POOL");
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/capacity/ViewMemory.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/capacity/ViewMemory.java
@@ -18,15 +18,15 @@
 import org.alderyard.protocol.generated.state.ViewSnapshot;
 import org.alderyard.protocol.view.ViewCodec;
 
-/** Measures the heap and the encoded size of a view by its number of groups, of 3 servers each. */
+/** Measures heap use and encoded size of a view by number of groups, with 3 servers per group. */
 public final class ViewMemory {
   private static final int[] GROUPS = {0, 500, 2_000, 5_000, 10_000, 22_000};
   private static final int SERVERS_PER_GROUP = 3;
-  private static final int COLLECTIONS = 4;
+  private static final int GC_RUNS = 4;
 
   private ViewMemory() {}
 
-  /** Prints a line for each size, and the fits. */
+  /** Prints one line per size and the linear fits. */
   public static void main(String[] args) throws Exception {
     double[] x = new double[GROUPS.length];
     double[] heap = new double[GROUPS.length];
@@ -35,19 +35,19 @@
     for (int i = 0; i < GROUPS.length; i++) {
       byte[] bytes = ViewCodec.snapshot(view(GROUPS[i])).toByteArray();
       long before = usedHeap();
-      final View held = ViewCodec.view(ViewSnapshot.parseFrom(bytes));
+      final View decoded = ViewCodec.view(ViewSnapshot.parseFrom(bytes));
       long after = usedHeap();
       x[i] = GROUPS[i];
       heap[i] = after - before;
       encoded[i] = bytes.length;
-      System.out.printf("%d | %.0f | %d%n", held.groups().size(), heap[i], bytes.length);
+      System.out.printf("%d | %.0f | %d%n", decoded.groups().size(), heap[i], bytes.length);
     }
     System.out.println("heap: " + LineFit.through(x, heap).text("bytes a group"));
     System.out.println("encoded: " + LineFit.through(x, encoded).text("bytes a group"));
   }
 
   private static long usedHeap() {
-    for (int i = 0; i < COLLECTIONS; i++) {
+    for (int i = 0; i < GC_RUNS; i++) {
       System.gc();
     }
     return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/capacity/package-info.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/capacity/package-info.java
@@ -1,2 +1,2 @@
-/** Slopes of memory for docs/CAPACITY.md: what one more caller, group or server costs. */
+/** Measures memory and processor time per connection, statement and group for docs/CAPACITY.md. */
 package org.alderyard.benchmarks.capacity;
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/failover/DecisionTimes.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/failover/DecisionTimes.java
@@ -10,13 +10,13 @@
 import java.util.regex.Pattern;
 import org.slf4j.LoggerFactory;
 
-/** Takes the time of each decision of a failover from its log line. */
+/** Records the time of each failover step from the log events of the director. */
 final class DecisionTimes extends AppenderBase<ILoggingEvent> {
-  private static final Pattern LINE =
+  private static final Pattern LOG_LINE =
       Pattern.compile(
           "event=(failover\\S*) group=(\\S+) term=(\\d+).*?(?:decision=(\\w+) reason=\"(.*)\")?$");
 
-  /** The decisions, in their order; each is logged when the step before it has ended. */
+  /** The steps in order; the log event of a step is written when the previous step has ended. */
   enum Step {
     AGREED,
     GRANTED,
@@ -28,7 +28,7 @@
 
   private final Map<String, Map<Step, Long>> times = new ConcurrentHashMap<>();
 
-  /** Starts to listen to the director's log lines. */
+  /** Creates an appender and attaches it to the loggers of the director. */
   static DecisionTimes install() {
     DecisionTimes times = new DecisionTimes();
     times.start();
@@ -39,22 +39,25 @@
     return times;
   }
 
-  /** Returns the wall times of the steps of a group's latest failover. */
+  /**
+   * Returns the wall-clock times, in milliseconds, of the steps recorded for a group since the last
+   * {@link #clear}.
+   */
   Map<Step, Long> of(String group) {
     return times.getOrDefault(group, Map.of());
   }
 
-  void forget(String group) {
+  void clear(String group) {
     times.remove(group);
   }
 
   @Override
   protected void append(ILoggingEvent event) {
-    Matcher line = LINE.matcher(event.getFormattedMessage());
+    Matcher line = LOG_LINE.matcher(event.getFormattedMessage());
     if (!line.matches()) {
       return;
     }
-    step(line.group(1), line.group(4), line.group(5))
+    stepOf(line.group(1), line.group(4), line.group(5))
         .ifPresent(
             step ->
                 times
@@ -62,7 +65,7 @@
                     .putIfAbsent(step, event.getTimeStamp()));
   }
 
-  private static Optional<Step> step(String event, String decision, String reason) {
+  private static Optional<Step> stepOf(String event, String decision, String reason) {
     if (event.equals("failover-start")) {
       return Optional.of(Step.AGREED);
     }
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/failover/FailoverGapBenchmark.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/failover/FailoverGapBenchmark.java
@@ -22,29 +22,29 @@
 import org.alderyard.protocol.wire.ProtocolOptions;
 
 /**
- * Replaces primaries one after another while callers write, and prints the gaps that they see.
+ * Replaces primaries one after another while callers write, and prints the write gaps.
  *
  * <p>Arguments: the kind of fault ({@code kill}, {@code pause}, {@code partition}, {@code planned})
- * and how many. The servers are processes; their answers are held back for 3 ms, twice the 1.5 ms
- * between zones, and callers wait for 3 ms on each way to their proxy.
+ * and the number of failovers. The servers run as processes. Their responses are delayed by 3 ms,
+ * twice the 1.5 ms between zones, and callers add 3 ms in each direction to their proxy.
  */
 public final class FailoverGapBenchmark {
   private static final int GROUPS = 6;
   private static final int CALLERS = 3;
-  private static final long LIMIT_NANOS = Duration.ofSeconds(20).toNanos();
-  private static final long START_NANOS = Duration.ofSeconds(30).toNanos();
-  private static final long ROUND_MILLIS = 2_000;
+  private static final long FAILOVER_TIMEOUT_NANOS = Duration.ofSeconds(20).toNanos();
+  private static final long START_TIMEOUT_NANOS = Duration.ofSeconds(30).toNanos();
+  private static final long MIN_ROUND_MILLIS = 2_000;
   private static final long NANOS_PER_MILLI = 1_000_000;
 
   private final GapCluster cluster;
   private final DecisionTimes decisions = DecisionTimes.install();
   private final List<List<GapCaller>> callers = new ArrayList<>();
   private final Histogram gaps = new Histogram(3);
-  private final Map<Step, Histogram> splits = new EnumMap<>(Step.class);
+  private final Map<Step, Histogram> stepDurations = new EnumMap<>(Step.class);
   private final Histogram resume = new Histogram(3);
   private final WorkerPool workers = new WorkerPool("gap", 2);
   private final ControlClient control;
-  private int unended;
+  private int timedOutFailovers;
 
   private FailoverGapBenchmark(GapCluster cluster) {
     this.cluster = cluster;
@@ -61,11 +61,11 @@
         new ControlClient(
             new PeerLinks(new EventLoops(1), options), settings.controlHosts(), workers);
     for (Step step : Step.values()) {
-      splits.put(step, new Histogram(3));
+      stepDurations.put(step, new Histogram(3));
     }
   }
 
-  /** Runs one kind of fault. */
+  /** Runs the given number of failovers with one kind of fault. */
   public static void main(String[] args) throws IOException, InterruptedException {
     String kind = args[0];
     int count = Integer.parseInt(args[1]);
@@ -81,9 +81,9 @@
   private void run(String kind, int count) throws IOException, InterruptedException {
     startCallers();
     for (int i = 0; i < count; i++) {
-      oneFailover(kind, i % GROUPS);
+      measureFailover(kind, i % GROUPS);
     }
-    Thread.sleep(ROUND_MILLIS);
+    Thread.sleep(MIN_ROUND_MILLIS);
     callers.forEach(group -> group.forEach(GapCaller::end));
     print(kind);
   }
@@ -101,12 +101,12 @@
       }
       callers.add(started);
     }
-    long endNanos = System.nanoTime() + START_NANOS;
+    long endNanos = System.nanoTime() + START_TIMEOUT_NANOS;
     for (List<GapCaller> group : callers) {
       while (group.stream().anyMatch(caller -> caller.acknowledged().isEmpty())) {
         if (System.nanoTime() > endNanos) {
           throw new IllegalStateException(
-              "a caller got no acknowledgement: "
+              "a caller received no acknowledgement within the start timeout; last errors: "
                   + group.stream().map(GapCaller::lastError).toList());
         }
         Thread.sleep(50);
@@ -114,51 +114,51 @@
     }
   }
 
-  private void oneFailover(String kind, int group) throws InterruptedException {
-    while (!cluster.whole(group)) {
+  private void measureFailover(String kind, int group) throws InterruptedException {
+    while (!cluster.isHealthy(group)) {
       Thread.sleep(50);
     }
     final ServerProcess primary = cluster.primary(group).orElseThrow();
-    callers.get(group).forEach(GapCaller::forget);
-    decisions.forget("g" + group);
-    while (merged(group).isEmpty()) {
+    callers.get(group).forEach(GapCaller::clear);
+    decisions.clear("g" + group);
+    while (acknowledgedWrites(group).isEmpty()) {
       Thread.sleep(5);
     }
     final long faultNanos = System.nanoTime();
     final long faultMillis = System.currentTimeMillis();
     inject(kind, group, primary);
-    Optional<Acknowledged> first = awaitOther(group, primary.name(), faultNanos);
+    Optional<Acknowledged> first = awaitWriteToOtherServer(group, primary.name(), faultNanos);
     long firstMillis = System.currentTimeMillis();
     if (first.isEmpty()) {
-      unended++;
+      timedOutFailovers++;
     } else {
-      note(group, primary.name(), first.get(), faultMillis, firstMillis);
+      recordFailover(group, primary.name(), first.get(), faultMillis, firstMillis);
     }
-    heal(kind, primary);
-    Thread.sleep(Math.max(0, ROUND_MILLIS - (System.currentTimeMillis() - faultMillis)));
+    recover(kind, primary);
+    Thread.sleep(Math.max(0, MIN_ROUND_MILLIS - (System.currentTimeMillis() - faultMillis)));
   }
 
   private void inject(String kind, int group, ServerProcess primary) {
     switch (kind) {
       case "kill" -> primary.kill();
       case "pause" -> primary.signal("STOP");
-      case "partition" -> primary.unreachable(true);
+      case "partition" -> primary.setUnreachable(true);
       case "planned" ->
           control.callIdempotent(
               FailoverMethods.HAND_OVER,
               HandOverRequest.newBuilder().setGroup("g" + group).build(),
               Duration.ofSeconds(2));
-      default -> throw new IllegalArgumentException("kind " + kind);
+      default -> throw new IllegalArgumentException("unknown kind of fault: " + kind);
     }
   }
 
-  private void heal(String kind, ServerProcess primary) {
+  private void recover(String kind, ServerProcess primary) {
     switch (kind) {
       case "kill" -> workers.execute(() -> restart(primary));
       case "pause" -> primary.signal("CONT");
-      case "partition" -> primary.unreachable(false);
+      case "partition" -> primary.setUnreachable(false);
       default -> {
-        // A hand-over leaves nothing to heal.
+        // A planned hand-over requires no recovery.
       }
     }
   }
@@ -167,23 +167,25 @@
     try {
       server.start();
       server.awaitReady();
-    } catch (InterruptedException stopped) {
+    } catch (InterruptedException interrupted) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private List<Acknowledged> merged(int group) {
+  private List<Acknowledged> acknowledgedWrites(int group) {
     List<Acknowledged> all = new ArrayList<>();
     callers.get(group).forEach(caller -> all.addAll(caller.acknowledged()));
     all.sort(java.util.Comparator.comparingLong(Acknowledged::atNanos));
     return all;
   }
 
-  private Optional<Acknowledged> awaitOther(int group, String old, long faultNanos)
-      throws InterruptedException {
-    while (System.nanoTime() - faultNanos < LIMIT_NANOS) {
+  private Optional<Acknowledged> awaitWriteToOtherServer(
+      int group, String oldPrimary, long faultNanos) throws InterruptedException {
+    while (System.nanoTime() - faultNanos < FAILOVER_TIMEOUT_NANOS) {
       Optional<Acknowledged> first =
-          merged(group).stream().filter(one -> !one.server().equals(old)).findFirst();
+          acknowledgedWrites(group).stream()
+              .filter(write -> !write.server().equals(oldPrimary))
+              .findFirst();
       if (first.isPresent()) {
         return first;
       }
@@ -192,55 +194,56 @@
     return Optional.empty();
   }
 
-  private void note(int group, String old, Acknowledged first, long faultMillis, long firstMillis) {
+  private void recordFailover(
+      int group, String oldPrimary, Acknowledged first, long faultMillis, long firstMillis) {
     long last =
-        merged(group).stream()
-            .filter(one -> one.server().equals(old))
+        acknowledgedWrites(group).stream()
+            .filter(write -> write.server().equals(oldPrimary))
             .mapToLong(Acknowledged::atNanos)
             .filter(at -> at < first.atNanos())
             .max()
             .orElseThrow();
     gaps.recordValue((first.atNanos() - last) / NANOS_PER_MILLI);
     Map<Step, Long> times = decisions.of("g" + group);
-    long before = faultMillis;
+    long previousMillis = faultMillis;
     for (Step step : Step.values()) {
       if (times.containsKey(step)) {
-        splits.get(step).recordValue(Math.max(0, times.get(step) - before));
-        before = times.get(step);
+        stepDurations.get(step).recordValue(Math.max(0, times.get(step) - previousMillis));
+        previousMillis = times.get(step);
       }
     }
-    resume.recordValue(Math.max(0, firstMillis - before));
+    resume.recordValue(Math.max(0, firstMillis - previousMillis));
   }
 
   private void print(String kind) throws IOException, InterruptedException {
     int lost = 0;
-    int doubled = 0;
+    int duplicates = 0;
     int total = 0;
-    int unknown = 0;
+    int unknownOutcomes = 0;
     for (List<GapCaller> group : callers) {
       for (GapCaller caller : group) {
-        int[] found = caller.lostAndDoubled();
-        lost += found[0];
-        doubled += found[1];
+        int[] lostAndDuplicate = caller.countLostAndDuplicate();
+        lost += lostAndDuplicate[0];
+        duplicates += lostAndDuplicate[1];
         total += caller.total();
-        unknown += caller.unknown();
+        unknownOutcomes += caller.unknownOutcomes();
       }
     }
-    System.out.println("measure kind=" + kind + " not_ended=" + unended);
-    line("gap", gaps);
-    line("detect", splits.get(Step.AGREED));
-    line("decide", splits.get(Step.GRANTED));
-    line("fence", splits.get(Step.FENCED));
-    line("choose", splits.get(Step.CHOSEN));
-    line("promote", splits.get(Step.PROMOTED));
-    line("publish", splits.get(Step.PUBLISHED));
-    line("resume", resume);
+    System.out.println("measure kind=" + kind + " not_ended=" + timedOutFailovers);
+    printSummary("gap", gaps);
+    printSummary("detect", stepDurations.get(Step.AGREED));
+    printSummary("decide", stepDurations.get(Step.GRANTED));
+    printSummary("fence", stepDurations.get(Step.FENCED));
+    printSummary("choose", stepDurations.get(Step.CHOSEN));
+    printSummary("promote", stepDurations.get(Step.PROMOTED));
+    printSummary("publish", stepDurations.get(Step.PUBLISHED));
+    printSummary("resume", resume);
     System.out.printf(
         "measure acknowledged=%d lost=%d doubled=%d outcome_unknown=%d%n",
-        total, lost, doubled, unknown);
+        total, lost, duplicates, unknownOutcomes);
   }
 
-  private static void line(String name, Histogram millis) {
+  private static void printSummary(String name, Histogram millis) {
     System.out.printf(
         "measure %s n=%d p50=%d p99=%d max=%d ms%n",
         name,
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/failover/GapCaller.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/failover/GapCaller.java
@@ -16,20 +16,20 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import org.alderyard.backend.http.BackendJson;
 
-/** A caller that writes to one group without a pause and notes every acknowledgement. */
+/** Caller that writes to one group continuously and records every acknowledgement. */
 final class GapCaller implements Runnable {
-  /** One way between a caller and its proxy. */
+  /** Simulated one-way network delay between a caller and its proxy. */
   private static final long ONE_WAY_MILLIS = 3;
 
-  private static final long PAUSE_MILLIS = 10;
+  private static final long WRITE_INTERVAL_MILLIS = 10;
   private static final int WRITES_PER_KEY = 100;
   private static final int DEADLINE_MILLIS = 5_000;
 
   /**
    * An acknowledged write.
    *
-   * @param atNanos when the caller heard of it
-   * @param server who ran it
+   * @param atNanos time at which the caller received the acknowledgement, in nanoseconds
+   * @param server the server that ran the write
    */
   record Acknowledged(long atNanos, String server) {}
 
@@ -39,10 +39,10 @@
   private final String name;
   private final List<Acknowledged> acknowledged = new CopyOnWriteArrayList<>();
   private final Map<String, Set<Integer>> acknowledgedByKey = new HashMap<>();
-  private volatile boolean ended;
+  private volatile boolean stopped;
   private volatile String lastError = "none";
-  private int number;
-  private int unknown;
+  private int writeNumber;
+  private int unknownOutcomes;
 
   GapCaller(HttpClient http, InetSocketAddress proxy, String pool, String name) {
     this.http = http;
@@ -55,18 +55,18 @@
     return acknowledged;
   }
 
-  /** Forgets what was acknowledged before, so that a long run stays small. */
-  void forget() {
+  /** Discards the recorded acknowledgements, to bound the memory use of a long run. */
+  void clear() {
     acknowledged.clear();
   }
 
-  /** Returns the last answer that was no acknowledgement. */
+  /** Returns the body of the last error response; "none" if there was none. */
   String lastError() {
     return lastError;
   }
 
-  int unknown() {
-    return unknown;
+  int unknownOutcomes() {
+    return unknownOutcomes;
   }
 
   int total() {
@@ -74,37 +74,38 @@
   }
 
   void end() {
-    ended = true;
+    stopped = true;
   }
 
   @Override
   public void run() {
-    while (!ended) {
-      number++;
-      String key = name + "-" + number / WRITES_PER_KEY;
+    while (!stopped) {
+      writeNumber++;
+      String key = name + "-" + writeNumber / WRITES_PER_KEY;
       try {
         Thread.sleep(ONE_WAY_MILLIS);
-        HttpResponse<byte[]> answer = send(key, "append", number);
+        HttpResponse<byte[]> response = send(key, "append", writeNumber);
         Thread.sleep(ONE_WAY_MILLIS);
-        note(key, answer);
-        Thread.sleep(PAUSE_MILLIS);
-      } catch (IOException broken) {
-        unknown++;
-      } catch (InterruptedException stopped) {
+        recordResponse(key, response);
+        Thread.sleep(WRITE_INTERVAL_MILLIS);
+      } catch (IOException failure) {
+        unknownOutcomes++;
+      } catch (InterruptedException interrupted) {
         return;
       }
     }
   }
 
-  private void note(String key, HttpResponse<byte[]> answer) {
-    JsonNode body = BackendJson.parse(answer.body());
-    if (answer.statusCode() == 200) {
+  private void recordResponse(String key, HttpResponse<byte[]> response) {
+    JsonNode body = BackendJson.parse(response.body());
+    if (response.statusCode() == 200) {
       String server = body.path("servedBy").path("server").asText();
-      acknowledgedByKey.computeIfAbsent(key, absent -> new TreeSet<>()).add(number);
+      acknowledgedByKey.computeIfAbsent(key, absent -> new TreeSet<>()).add(writeNumber);
       acknowledged.add(new Acknowledged(System.nanoTime(), server));
     } else {
       lastError = body.toString();
-      unknown += body.path("error").path("outcome").asText().equals("OUTCOME_UNKNOWN") ? 1 : 0;
+      unknownOutcomes +=
+          body.path("error").path("outcome").asText().equals("OUTCOME_UNKNOWN") ? 1 : 0;
     }
   }
 
@@ -130,28 +131,29 @@
   }
 
   /**
-   * Reads all keys back.
+   * Reads all keys and compares them with the acknowledged writes.
    *
-   * @return how many acknowledged writes are missing, and how many ran twice
+   * @return the number of missing acknowledged writes, then the number of writes that ran more than
+   *     once
    */
-  int[] lostAndDoubled() throws IOException, InterruptedException {
+  int[] countLostAndDuplicate() throws IOException, InterruptedException {
     int lost = 0;
-    int doubled = 0;
+    int duplicates = 0;
     for (var entry : acknowledgedByKey.entrySet()) {
       Optional<JsonNode> stored = read(entry.getKey());
       Map<Integer, Integer> counts = new HashMap<>();
       stored.ifPresent(items -> items.forEach(i -> counts.merge(i.asInt(), 1, Integer::sum)));
       lost += (int) entry.getValue().stream().filter(id -> !counts.containsKey(id)).count();
-      doubled += (int) counts.values().stream().filter(count -> count > 1).count();
+      duplicates += (int) counts.values().stream().filter(count -> count > 1).count();
     }
-    return new int[] {lost, doubled};
+    return new int[] {lost, duplicates};
   }
 
   private Optional<JsonNode> read(String key) throws IOException, InterruptedException {
     for (int attempt = 0; attempt < 100; attempt++) {
-      HttpResponse<byte[]> answer = send(key, "get", 0);
-      if (answer.statusCode() == 200) {
-        return Optional.of(BackendJson.parse(answer.body()).path("result"));
+      HttpResponse<byte[]> response = send(key, "get", 0);
+      if (response.statusCode() == 200) {
+        return Optional.of(BackendJson.parse(response.body()).path("result"));
       }
       Thread.sleep(100);
     }
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/failover/GapCluster.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/failover/GapCluster.java
@@ -15,10 +15,10 @@
 import org.alderyard.daemon.DaemonSettings;
 import org.alderyard.testkit.net.FreePorts;
 
-/** Three hosts in three zones, in this process, and groups of three server processes. */
+/** Three in-process hosts, one per zone, and groups of three server processes. */
 final class GapCluster implements AutoCloseable {
   private static final String[] ZONES = {"quimper", "lorient", "vannes"};
-  private static final int BETWEEN_ZONES_MILLIS = 3;
+  private static final int RESPONSE_DELAY_MILLIS = 3;
 
   private final Path folder;
   private final HttpClient http = HttpClient.newHttpClient();
@@ -41,7 +41,7 @@
         server.awaitReady();
       }
     }
-    putTicket(groupCount);
+    submitTicket(groupCount);
   }
 
   HttpClient http() {
@@ -60,23 +60,25 @@
     return groups.get(number);
   }
 
-  /** Returns the server that says that it is the primary of the highest term. */
+  /**
+   * Returns the server that reports to be the primary of the highest term; empty if there is none.
+   */
   Optional<ServerProcess> primary(int group) {
-    long best = -1;
-    Optional<ServerProcess> found = Optional.empty();
+    long highestTerm = -1;
+    Optional<ServerProcess> result = Optional.empty();
     for (ServerProcess server : groups.get(group)) {
       var report = server.report();
       boolean primary = report.isPresent() && report.get().role().name().equals("PRIMARY");
-      if (primary && report.get().term() > best) {
-        best = report.get().term();
-        found = Optional.of(server);
+      if (primary && report.get().term() > highestTerm) {
+        highestTerm = report.get().term();
+        result = Optional.of(server);
       }
     }
-    return found;
+    return result;
   }
 
-  /** Returns whether the group has one primary and two replicas in one term. */
-  boolean whole(int group) {
+  /** Returns whether the group has one primary and two replicas, all in the same term. */
+  boolean isHealthy(int group) {
     List<String> roles = new ArrayList<>();
     List<Long> terms = new ArrayList<>();
     for (ServerProcess server : groups.get(group)) {
@@ -146,7 +148,7 @@
       arguments.addAll(i == 0 ? List.of("--primary") : List.of("--follow", first));
       first = i == 0 ? listen : first;
       ServerProcess server =
-          new ServerProcess(http, name, address, arguments, folder, BETWEEN_ZONES_MILLIS);
+          new ServerProcess(http, name, address, arguments, folder, RESPONSE_DELAY_MILLIS);
       server.start();
       servers.add(server);
     }
@@ -158,7 +160,7 @@
         ",", hosts.stream().map(host -> "127.0.0.1:" + host.callerAddress().getPort()).toList());
   }
 
-  private void putTicket(int groupCount) throws IOException, InterruptedException {
+  private void submitTicket(int groupCount) throws IOException, InterruptedException {
     StringBuilder objects = new StringBuilder();
     for (int group = 0; group < groupCount; group++) {
       objects.append("{\"kind\":\"group\",\"id\":\"g%d\"},".formatted(group));
@@ -168,18 +170,18 @@
     objects.append(
         "{\"kind\":\"keys\",\"keys\":[{\"id\":1,"
             + "\"secretBase64\":\"MDEyMzQ1Njc4OWFiY2RlZg==\"}]}");
-    InetSocketAddress operators = controlHost().operatorAddress().orElseThrow();
-    URI uri = URI.create("http://127.0.0.1:" + operators.getPort() + "/v1/tickets/1");
+    InetSocketAddress operatorAddress = controlHost().operatorAddress().orElseThrow();
+    URI uri = URI.create("http://127.0.0.1:" + operatorAddress.getPort() + "/v1/tickets/1");
     String body = "{\"objects\":[" + objects + "]}";
-    var answer =
+    var response =
         http.send(
             HttpRequest.newBuilder(uri)
                 .header("Authorization", "Bearer operator-secret")
                 .PUT(HttpRequest.BodyPublishers.ofString(body))
                 .build(),
             HttpResponse.BodyHandlers.ofString());
-    if (answer.statusCode() != 200) {
-      throw new IllegalStateException("ticket refused: " + answer.body());
+    if (response.statusCode() != 200) {
+      throw new IllegalStateException("host refused the ticket: " + response.body());
     }
   }
 
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/failover/ServerProcess.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/failover/ServerProcess.java
@@ -18,10 +18,10 @@
 import org.alderyard.backend.http.BackendPaths;
 import org.alderyard.testkit.standin.StandInMain;
 
-/** One stand-in server as a process of its own, which can be killed, stopped and cut off. */
+/** A stand-in server in a separate process that can be killed, suspended and made unreachable. */
 final class ServerProcess implements AutoCloseable {
   private static final Duration TIMEOUT = Duration.ofMillis(500);
-  private static final Duration SWITCH_TIMEOUT = Duration.ofSeconds(10);
+  private static final Duration SET_FAULTS_TIMEOUT = Duration.ofSeconds(10);
 
   private final HttpClient http;
   private final String name;
@@ -79,12 +79,12 @@
     }
   }
 
-  /** Waits until the server answers, and gives it the delay between zones. */
+  /** Waits until the server responds, then sets its response delay. */
   void awaitReady() throws InterruptedException {
     while (report().isEmpty()) {
       Thread.sleep(50);
     }
-    switches("{\"answerDelayMillis\":" + answerDelayMillis + "}");
+    setFaults("{\"answerDelayMillis\":" + answerDelayMillis + "}");
   }
 
   void kill() {
@@ -96,39 +96,39 @@
       new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
     } catch (IOException failure) {
       throw new UncheckedIOException(failure);
-    } catch (InterruptedException stopped) {
+    } catch (InterruptedException interrupted) {
       Thread.currentThread().interrupt();
     }
   }
 
-  void unreachable(boolean value) {
-    switches("{\"unreachable\":" + value + "}");
+  void setUnreachable(boolean value) {
+    setFaults("{\"unreachable\":" + value + "}");
   }
 
-  private void switches(String body) {
+  private void setFaults(String body) {
     try {
       http.send(
           request("/stand-in/switches")
-              .timeout(SWITCH_TIMEOUT)
+              .timeout(SET_FAULTS_TIMEOUT)
               .POST(HttpRequest.BodyPublishers.ofString(body))
               .build(),
           HttpResponse.BodyHandlers.discarding());
     } catch (IOException failure) {
       throw new UncheckedIOException(failure);
-    } catch (InterruptedException stopped) {
+    } catch (InterruptedException interrupted) {
       Thread.currentThread().interrupt();
     }
   }
 
-  /** Returns what the server says of itself, if it answers. */
+  /** Returns the state that the server reports; empty if the server does not respond. */
   Optional<ServerReport> report() {
     try {
-      var answer =
+      var response =
           http.send(request(BackendPaths.STATE).build(), HttpResponse.BodyHandlers.ofByteArray());
-      return Optional.of(BackendJson.report(BackendJson.parse(answer.body())));
-    } catch (IOException silent) {
+      return Optional.of(BackendJson.report(BackendJson.parse(response.body())));
+    } catch (IOException unresponsive) {
       return Optional.empty();
-    } catch (InterruptedException stopped) {
+    } catch (InterruptedException interrupted) {
       Thread.currentThread().interrupt();
       return Optional.empty();
     }
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/failover/package-info.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/failover/package-info.java
@@ -1,2 +1,2 @@
-/** Measures how long writes of callers stand still while a primary is replaced. */
+/** Measures the interruption of writes while a primary is replaced. */
 package org.alderyard.benchmarks.failover;
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/log/BenchCluster.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/log/BenchCluster.java
@@ -11,12 +11,12 @@
 import org.alderyard.control.log.StateMachine;
 import org.alderyard.testkit.net.FreePorts;
 
-/** Some control hosts and the news of who leads. */
+/** In-process control hosts and a queue of the leaders that they elect. */
 final class BenchCluster {
   private final Path folder;
   private final List<InetSocketAddress> members = new ArrayList<>();
   private final List<BenchHost> hosts = new ArrayList<>();
-  private final BlockingQueue<BenchHost> elected = new LinkedBlockingQueue<>();
+  private final BlockingQueue<BenchHost> electedLeaders = new LinkedBlockingQueue<>();
 
   BenchCluster(Path folder, int size) {
     this.folder = folder;
@@ -35,10 +35,10 @@
         folder,
         new CountingMachine(),
         ReplicatedLogOptions.defaults(),
-        elected::add);
+        electedLeaders::add);
   }
 
-  /** Starts a host again from its files. */
+  /** Restarts a host from its data folder. */
   void restart(int number) {
     hosts.set(number, start(number));
   }
@@ -47,10 +47,10 @@
     return hosts;
   }
 
-  /** Waits for the next host that was elected and serves. */
+  /** Blocks until a host becomes leader and returns the host. */
   BenchHost nextLeader() {
     try {
-      return elected.take();
+      return electedLeaders.take();
     } catch (InterruptedException interrupted) {
       Thread.currentThread().interrupt();
       throw new IllegalStateException("interrupted while waiting for a leader", interrupted);
@@ -59,10 +59,12 @@
 
   void close() {
     hosts.forEach(BenchHost::kill);
-    hosts.forEach(BenchHost::free);
+    hosts.forEach(BenchHost::releaseThreads);
   }
 
-  /** The least that a state machine can be: its cost is not measured. */
+  /**
+   * Minimal state machine that counts commands, so that its cost does not affect the measurement.
+   */
   static final class CountingMachine implements StateMachine {
     private long applied;
 
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/log/BenchHost.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/log/BenchHost.java
@@ -23,7 +23,7 @@
 import org.alderyard.protocol.wire.PeerLinks;
 import org.alderyard.protocol.wire.ProtocolOptions;
 
-/** One control host inside the benchmark's process, over real sockets and files. */
+/** Control host in the process of the benchmark that uses real sockets and files. */
 final class BenchHost implements LogListener {
   private static final String CLUSTER = "benchmark";
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
@@ -93,12 +93,12 @@
     return log.propose(command).join();
   }
 
-  /** Returns once this host has applied the log up to an index. */
+  /** Blocks until this host has applied the log up to the given index. */
   void awaitApplied(long index) {
     await(status -> status.appliedIndex() >= index);
   }
 
-  /** Returns once this host has written a snapshot. */
+  /** Blocks until this host has written a snapshot. */
   void awaitSnapshot() {
     await(status -> status.snapshotIndex() > 0);
   }
@@ -117,21 +117,23 @@
     poll.cancel(false);
   }
 
-  /** Ends without handing over, and frees the threads later. */
+  /**
+   * Stops the host without a leadership transfer; the threads run until {@link #releaseThreads}.
+   */
   void kill() {
     log.stop();
     links.close();
     server.close();
   }
 
-  /** Hands over, then ends. */
+  /** Closes the host after a leadership transfer; the threads run until {@link #releaseThreads}. */
   void close() {
     log.close();
     links.close();
     server.close();
   }
 
-  void free() {
+  void releaseThreads() {
     loops.close();
     workers.close();
   }
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/log/ElectionBenchmark.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/log/ElectionBenchmark.java
@@ -7,9 +7,9 @@
 import org.HdrHistogram.Histogram;
 import org.alderyard.common.time.MonotonicClock;
 
-/** The gap from the loss of a leader to the first proposal that the next one has committed. */
+/** Measures the time from the loss of a leader to the first proposal committed by a new leader. */
 final class ElectionBenchmark {
-  private static final int LOSSES = 120;
+  private static final int LEADER_LOSSES = 120;
   private static final int SIGNIFICANT_DIGITS = 3;
   private static final ByteString COMMAND = ByteString.copyFromUtf8("after the loss");
 
@@ -31,16 +31,16 @@
     cluster.close();
   }
 
-  private BenchHost measure(String name, BenchCluster cluster, BenchHost first, Loss loss) {
+  private BenchHost measure(String name, BenchCluster cluster, BenchHost first, LeaderLoss loss) {
     Histogram gap = new Histogram(SIGNIFICANT_DIGITS);
     BenchHost leader = first;
-    for (int i = 0; i < LOSSES; i++) {
-      leader = settled(cluster, leader);
+    for (int i = 0; i < LEADER_LOSSES; i++) {
+      leader = awaitCommit(cluster, leader);
       long startNanos = clock.nowNanos();
       loss.of(leader);
-      final BenchHost next = settled(cluster, cluster.nextLeader());
+      final BenchHost next = awaitCommit(cluster, cluster.nextLeader());
       gap.recordValue(Math.round((clock.nowNanos() - startNanos) / 1e6));
-      leader.free();
+      leader.releaseThreads();
       cluster.restart(leader.number());
       long committed = next.log().status().appliedIndex();
       cluster.hosts().forEach(host -> host.awaitApplied(committed));
@@ -56,8 +56,10 @@
     return leader;
   }
 
-  /** Returns the host that has committed a proposal, which may be another one by now. */
-  private static BenchHost settled(BenchCluster cluster, BenchHost candidate) {
+  /**
+   * Proposes until a leader commits, and returns that leader, which may differ from the candidate.
+   */
+  private static BenchHost awaitCommit(BenchCluster cluster, BenchHost candidate) {
     BenchHost leader = candidate;
     while (true) {
       try {
@@ -69,8 +71,8 @@
     }
   }
 
-  /** How a leader is lost. */
-  private interface Loss {
+  /** Way in which a leader is lost. */
+  private interface LeaderLoss {
     void of(BenchHost leader);
   }
 }
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/log/LogBenchmark.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/log/LogBenchmark.java
@@ -9,7 +9,7 @@
 import org.apache.commons.cli.ParseException;
 
 /**
- * Measures the replicated log and prints tables for the page of measurements.
+ * Measures the replicated log and prints the results as Markdown tables.
  *
  * <pre>{@code
  * LogBenchmark --measure propose|election|restart --folder FOLDER
@@ -24,16 +24,16 @@
 
   private LogBenchmark() {}
 
-  /** Runs one measure; the folder must be empty and on the disk that is to be measured. */
+  /** Runs one benchmark; the folder must be empty and on the disk to be measured. */
   public static void main(String[] args) {
     try {
       CommandLine line = new DefaultParser().parse(OPTIONS, args);
       run(line.getOptionValue("measure"), Path.of(line.getOptionValue("folder")));
-    } catch (ParseException wrong) {
-      System.err.println(wrong.getMessage());
+    } catch (ParseException invalidArguments) {
+      System.err.println(invalidArguments.getMessage());
       System.exit(USAGE_CODE);
-    } catch (RuntimeException failed) {
-      failed.printStackTrace();
+    } catch (RuntimeException failure) {
+      failure.printStackTrace();
       System.exit(1);
     }
     System.exit(0);
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/log/ProposeBenchmark.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/log/ProposeBenchmark.java
@@ -9,7 +9,7 @@
 import org.HdrHistogram.ConcurrentHistogram;
 import org.alderyard.common.time.MonotonicClock;
 
-/** Latency from proposal to answer at the leader, for several numbers of callers at once. */
+/** Measures proposal latency at the leader by the number of concurrent callers. */
 final class ProposeBenchmark {
   private static final int[] CALLERS = {1, 8, 64};
   private static final int WARM_UP = 500;
@@ -33,24 +33,26 @@
     out.println("| callers | p50 ms | p99 ms | max ms | proposals/s | runs lost to elections | |");
     out.println("|---|---|---|---|---|---|---|");
     for (int callers : CALLERS) {
-      leader = measureUndisturbed(cluster, leader, callers, WARM_UP);
+      leader = measureWithStableLeader(cluster, leader, callers, WARM_UP);
     }
     for (int callers : CALLERS) {
-      leader = measureUndisturbed(cluster, leader, callers, PROPOSALS);
+      leader = measureWithStableLeader(cluster, leader, callers, PROPOSALS);
     }
     cluster.close();
   }
 
   /**
-   * A run during which the leader changed says nothing of the latency; it is counted and redone.
+   * Repeats and counts runs interrupted by a change of the leader, since the latency of such runs
+   * is not meaningful.
    */
-  private BenchHost measureUndisturbed(
+  private BenchHost measureWithStableLeader(
       BenchCluster cluster, BenchHost first, int callers, int proposals) {
     BenchHost leader = first;
-    for (int lost = 0; ; lost++) {
+    for (int interruptedRuns = 0; ; interruptedRuns++) {
       try {
         String row = measure(leader, callers, proposals);
-        out.println(row + " " + lost + " | " + (proposals == WARM_UP ? "warm-up" : "") + " |");
+        out.println(
+            row + " " + interruptedRuns + " | " + (proposals == WARM_UP ? "warm-up" : "") + " |");
         return leader;
       } catch (CompletionException leaderChanged) {
         leader = cluster.nextLeader();
@@ -60,12 +62,12 @@
 
   private String measure(BenchHost leader, int callers, int proposals) {
     ConcurrentHistogram latency = new ConcurrentHistogram(SIGNIFICANT_DIGITS);
-    AtomicInteger left = new AtomicInteger(proposals);
+    AtomicInteger remaining = new AtomicInteger(proposals);
     CompletableFuture<?>[] done = new CompletableFuture<?>[callers];
     long startNanos = clock.nowNanos();
     for (int caller = 0; caller < callers; caller++) {
       done[caller] = new CompletableFuture<Void>();
-      next(leader, left, latency, done[caller]);
+      proposeNext(leader, remaining, latency, done[caller]);
     }
     CompletableFuture.allOf(done).join();
     double seconds = (clock.nowNanos() - startNanos) / NANOS_PER_SECOND;
@@ -78,12 +80,12 @@
             proposals / seconds);
   }
 
-  private void next(
+  private void proposeNext(
       BenchHost leader,
-      AtomicInteger left,
+      AtomicInteger remaining,
       ConcurrentHistogram latency,
       CompletableFuture<?> done) {
-    if (left.getAndDecrement() <= 0) {
+    if (remaining.getAndDecrement() <= 0) {
       done.complete(null);
       return;
     }
@@ -92,13 +94,13 @@
         .log()
         .propose(ByteString.copyFrom(new byte[COMMAND_BYTES]))
         .whenComplete(
-            (answer, failure) -> {
+            (result, failure) -> {
               if (failure != null) {
                 done.completeExceptionally(failure);
                 return;
               }
               latency.recordValue(clock.nowNanos() - startNanos);
-              next(leader, left, latency, done);
+              proposeNext(leader, remaining, latency, done);
             });
   }
 }
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/log/RestartBenchmark.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/log/RestartBenchmark.java
@@ -27,13 +27,13 @@
 import org.alderyard.protocol.generated.state.ViewSnapshot;
 import org.alderyard.testkit.net.FreePorts;
 
-/** The time to open a data folder: by entries of the log, and by objects in a snapshot. */
+/** Measures the time to open a data folder by number of log entries and of snapshot objects. */
 final class RestartBenchmark {
   private static final int[] ENTRIES = {1_000, 10_000, 50_000, 200_000};
   private static final int[] GROUPS = {100, 1_000, 5_000, 22_000};
   private static final int SERVERS_PER_GROUP = 3;
   private static final int COMMAND_BYTES = 200;
-  private static final int WINDOW = 1_000;
+  private static final int MAX_IN_FLIGHT = 1_000;
   private static final int RUNS = 5;
   private static final int APPLIES = 21;
   private static final long FIRST_INDEX = 1_000;
@@ -79,7 +79,7 @@
     }
   }
 
-  /** Runs a cluster of one host until all is written. */
+  /** Runs a single host until all entries, and a snapshot if requested, are written. */
   private void fill(Path data, StateMachine machine, int entries, long snapshotEntries) {
     CompletableFuture<BenchHost> elected = new CompletableFuture<>();
     BenchHost host = open(data, machine, snapshotEntries, elected);
@@ -88,19 +88,19 @@
         machine instanceof ControlState
             ? ByteString.EMPTY
             : ByteString.copyFrom(new byte[COMMAND_BYTES]);
-    for (int done = 0; done < entries; done += WINDOW) {
-      int count = Math.min(WINDOW, entries - done);
-      CompletableFuture<?>[] window = new CompletableFuture<?>[count];
+    for (int done = 0; done < entries; done += MAX_IN_FLIGHT) {
+      int count = Math.min(MAX_IN_FLIGHT, entries - done);
+      CompletableFuture<?>[] inFlight = new CompletableFuture<?>[count];
       for (int i = 0; i < count; i++) {
-        window[i] = host.log().propose(command);
+        inFlight[i] = host.log().propose(command);
       }
-      CompletableFuture.allOf(window).join();
+      CompletableFuture.allOf(inFlight).join();
     }
     if (snapshotEntries != NO_SNAPSHOT) {
       host.awaitSnapshot();
     }
     host.kill();
-    host.free();
+    host.releaseThreads();
   }
 
   private double openMillis(Path data, Supplier<StateMachine> machine) {
@@ -111,7 +111,7 @@
       BenchHost host = open(data, fresh, NO_SNAPSHOT, new CompletableFuture<>());
       millis[run] = (clock.nowNanos() - startNanos) / NANOS_PER_MILLI;
       host.kill();
-      host.free();
+      host.releaseThreads();
     }
     Arrays.sort(millis);
     return millis[RUNS / 2];
@@ -123,7 +123,7 @@
     return (clock.nowNanos() - startNanos) / NANOS_PER_MILLI;
   }
 
-  /** A server announces itself with a new incarnation each time. */
+  /** Returns the median time to apply an announcement; each one carries a new incarnation. */
   private double applyMillis(ControlState state) {
     double[] millis = new double[APPLIES];
     for (int run = 0; run < APPLIES; run++) {
@@ -143,17 +143,17 @@
 
   private static BenchHost open(
       Path data, StateMachine machine, long snapshotEntries, CompletableFuture<BenchHost> elected) {
-    ReplicatedLogOptions preset = ReplicatedLogOptions.defaults();
+    ReplicatedLogOptions defaults = ReplicatedLogOptions.defaults();
     ReplicatedLogOptions options =
         new ReplicatedLogOptions(
-            preset.raft(),
-            preset.tick(),
+            defaults.raft(),
+            defaults.tick(),
             Duration.ofMillis(10),
-            preset.sendTimeout(),
+            defaults.sendTimeout(),
             snapshotEntries,
-            preset.keepEntries(),
-            preset.maxPending(),
-            preset.maxCommandBytes());
+            defaults.keepEntries(),
+            defaults.maxPending(),
+            defaults.maxCommandBytes());
     return new BenchHost(
         0,
         List.of(FreePorts.nextAddress()),
@@ -170,8 +170,8 @@
         total += file.getFileName().toString().startsWith(prefix) ? Files.size(file) : 0;
       }
       return total;
-    } catch (IOException impossible) {
-      throw new UncheckedIOException(impossible);
+    } catch (IOException failure) {
+      throw new UncheckedIOException(failure);
     }
   }
 
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/log/package-info.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/log/package-info.java
@@ -1,2 +1,2 @@
-/** Measures of the replicated log: latency, election gap, restart and snapshots. */
+/** Benchmarks of the replicated log: latency, election gap, restart and snapshots. */
 package org.alderyard.benchmarks.log;
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/package-info.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/package-info.java
@@ -1,2 +1,2 @@
-/** Benchmarks and regression bounds. */
+/** Benchmarks and models with regression bounds. */
 package org.alderyard.benchmarks;
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/reads/EventQueue.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/reads/EventQueue.java
@@ -5,7 +5,7 @@
 import java.util.PriorityQueue;
 import org.alderyard.common.time.PausedClock;
 
-/** Runs events in the order of their times, and advances the paused clock to each. */
+/** Discrete-event queue that runs events in time order and advances the simulated clock. */
 final class EventQueue {
   private final PausedClock clock = new PausedClock();
   private final PriorityQueue<Event> events =
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/reads/ModelGroup.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/reads/ModelGroup.java
@@ -4,9 +4,11 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** The truth of a modelled group: when each entry was written and applied by each replica. */
+/**
+ * Actual state of a simulated group: write time of each entry and applied index of each replica.
+ */
 final class ModelGroup {
-  /** The shortest way from the primary to a replica: one network hop. */
+  /** Minimum delay from the primary to a replica: one network hop. */
   private static final long HOP_NANOS = 1_500_000;
 
   private final EventQueue queue;
@@ -24,7 +26,7 @@
     lastArrivalNanos = new long[replicas];
   }
 
-  /** Writes an entry now; each replica applies it after its lag of 80 to 120 %, in order. */
+  /** Writes an entry; each replica applies entries in order after 80 to 120 % of the lag. */
   long write() {
     writtenNanos.add(queue.now());
     long index = writtenNanos.size();
@@ -32,8 +34,8 @@
       long lag = HOP_NANOS + (long) (lagNanos * (0.8 + 0.4 * random.nextDouble()));
       long arrival = Math.max(lastArrivalNanos[replica], queue.now() + lag);
       lastArrivalNanos[replica] = arrival;
-      int which = replica;
-      queue.after(arrival - queue.now(), () -> appliedIndex[which] = index);
+      int replicaIndex = replica;
+      queue.after(arrival - queue.now(), () -> appliedIndex[replicaIndex] = index);
     }
     return index;
   }
@@ -46,8 +48,8 @@
     return appliedIndex[replica];
   }
 
-  /** Returns how long ago the first entry was written that a reader at this index misses. */
-  long trueAgeNanos(long index) {
+  /** Returns the age of the oldest entry that a reader at this index misses; 0 if there is none. */
+  long stalenessNanos(long index) {
     return index >= primaryIndex() ? 0 : queue.now() - writtenNanos.get((int) index);
   }
 }
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/reads/OverloadModel.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/reads/OverloadModel.java
@@ -16,26 +16,26 @@
 import org.alderyard.proxy.limit.ServerLimiter;
 
 /**
- * Twelve proxies before one server with five slots, and more work than it can do.
+ * Simulates twelve proxies in front of one overloaded server with five slots.
  *
- * <p>Callers send in an open loop with a deadline of 500 ms, and half of the work comes from one
- * caller of ten. What is refused as not run is sent once more after the hint. A server that has
- * more statements than slots loses 1 % of its speed for each one too many, as locks and caches do.
+ * <p>Callers send in an open loop with a deadline of 500 ms; one of ten callers sends half of the
+ * statements. Statements refused as not run are resent once after the retry hint. Each statement in
+ * excess of the slots slows the server by 1 %, which models contention of locks and caches.
  */
 final class OverloadModel {
   private static final int PROXIES = 12;
   private static final int SLOTS = 5;
   private static final int CALLERS = 10;
-  private static final int QUEUE = 64;
+  private static final int MAX_QUEUED = 64;
   private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
   private static final long SERVICE = 10 * MILLI;
   private static final long DEADLINE = 500 * MILLI;
   private static final long HOP = 3 * MILLI / 2;
-  private static final long SWEEP = 10 * MILLI;
-  private static final double LOSS_PER_EXCESS = 0.01;
+  private static final long SWEEP_INTERVAL = 10 * MILLI;
+  private static final double SLOWDOWN_PER_EXCESS_STATEMENT = 0.01;
   private static final PoolName POOL = new PoolName("listings");
 
-  /** What the server does without any loss, in statements a second. */
+  /** Capacity of the server without slowdown, in statements per second. */
   static final double CAPACITY = SLOTS * 1e9 / SERVICE;
 
   private final EventQueue queue = new EventQueue();
@@ -46,44 +46,45 @@
   private int running;
   private final Result result = new Result();
 
-  /** Creates a model; without limits every statement goes to the server at once. */
+  /** Creates a model; without limits every statement is sent to the server immediately. */
   OverloadModel(long seed, Optional<IntFunction<ConcurrencyLimit>> limits) {
     random = new SplittableRandom(seed);
     this.limits = limits;
     for (int proxy = 0; proxy < PROXIES; proxy++) {
-      limits.ifPresent(factory -> limiters.add(new ServerLimiter<>(factory.apply(SLOTS), QUEUE)));
+      limits.ifPresent(
+          factory -> limiters.add(new ServerLimiter<>(factory.apply(SLOTS), MAX_QUEUED)));
     }
   }
 
   Result run(double load, long seconds) {
-    long meanGap = (long) (1e9 / (CAPACITY * load));
-    long end = seconds * 1_000 * MILLI;
-    arrive(meanGap, end);
+    long meanIntervalNanos = (long) (1e9 / (CAPACITY * load));
+    long endNanos = seconds * 1_000 * MILLI;
+    arrive(meanIntervalNanos, endNanos);
     if (limits.isPresent()) {
-      sweep(end);
+      sweep(endNanos);
     }
-    queue.runUntil(end + 2 * DEADLINE);
+    queue.runUntil(endNanos + 2 * DEADLINE);
     result.seconds = seconds;
     return result;
   }
 
-  private void arrive(long meanGap, long end) {
-    if (queue.now() >= end) {
+  private void arrive(long meanIntervalNanos, long endNanos) {
+    if (queue.now() >= endNanos) {
       return;
     }
     int caller = random.nextBoolean() ? 0 : 1 + random.nextInt(CALLERS - 1);
     result.offered[caller == 0 ? 0 : 1]++;
     submit(new Statement(random.nextInt(PROXIES), caller, queue.now(), queue.now() + DEADLINE));
-    long gap = (long) (-Math.log(1 - random.nextDouble()) * meanGap);
-    queue.after(gap, () -> arrive(meanGap, end));
+    long intervalNanos = (long) (-Math.log(1 - random.nextDouble()) * meanIntervalNanos);
+    queue.after(intervalNanos, () -> arrive(meanIntervalNanos, endNanos));
   }
 
-  private void sweep(long end) {
+  private void sweep(long endNanos) {
     for (int proxy = 0; proxy < PROXIES; proxy++) {
-      perform(limiters.get(proxy).sweep(queue.now()));
+      applyAdmission(limiters.get(proxy).sweep(queue.now()));
     }
-    if (queue.now() < end + DEADLINE) {
-      queue.after(SWEEP, () -> sweep(end));
+    if (queue.now() < endNanos + DEADLINE) {
+      queue.after(SWEEP_INTERVAL, () -> sweep(endNanos));
     }
   }
 
@@ -95,23 +96,24 @@
     Flow flow = new Flow(POOL, "caller-" + statement.caller);
     QueuedStatement<Statement> queued =
         new QueuedStatement<>(flow, false, statement.deadlineNanos, statement);
-    perform(limiters.get(statement.proxy).submit(queued, queue.now()));
+    applyAdmission(limiters.get(statement.proxy).submit(queued, queue.now()));
   }
 
-  private void perform(AdmissionResult<Statement> admission) {
+  private void applyAdmission(AdmissionResult<Statement> admission) {
     admission.started().forEach(queued -> send(queued.work()));
     admission.refused().forEach(refused -> refused(refused.statement().work(), refused));
   }
 
   private void refused(Statement statement, AdmissionResult.Refused<Statement> refusal) {
-    long again = refusal.retryAfterMillis() * MILLI;
-    boolean worthAnother = !statement.resent && queue.now() + again < statement.deadlineNanos;
-    if (!worthAnother) {
+    long retryDelayNanos = refusal.retryAfterMillis() * MILLI;
+    boolean canResend =
+        !statement.resent && queue.now() + retryDelayNanos < statement.deadlineNanos;
+    if (!canResend) {
       result.refused++;
       return;
     }
     statement.resent = true;
-    queue.after(again, () -> submit(statement));
+    queue.after(retryDelayNanos, () -> submit(statement));
   }
 
   private void send(Statement statement) {
@@ -129,44 +131,44 @@
       Statement statement = atServer.removeFirst();
       running++;
       int excess = atServer.size();
-      double slowdown = 1 + LOSS_PER_EXCESS * excess;
+      double slowdown = 1 + SLOWDOWN_PER_EXCESS_STATEMENT * excess;
       long service = (long) (SERVICE * (0.5 + random.nextDouble()) * slowdown);
       queue.after(
           service,
           () -> {
             running--;
-            queue.after(HOP, () -> answered(statement));
+            queue.after(HOP, () -> recordResponse(statement));
             serve();
           });
     }
   }
 
-  private void answered(Statement statement) {
+  private void recordResponse(Statement statement) {
     boolean inTime = queue.now() <= statement.deadlineNanos;
-    result.answered(statement.caller, inTime, queue.now() - statement.bornNanos);
+    result.recordResponse(statement.caller, inTime, queue.now() - statement.createdNanos);
     if (limits.isPresent()) {
       long latency = queue.now() - statement.sentNanos;
-      perform(limiters.get(statement.proxy).complete(false, latency, true, queue.now()));
+      applyAdmission(limiters.get(statement.proxy).complete(false, latency, true, queue.now()));
     }
   }
 
   private static final class Statement {
     final int proxy;
     final int caller;
-    final long bornNanos;
+    final long createdNanos;
     final long deadlineNanos;
     long sentNanos;
     boolean resent;
 
-    Statement(int proxy, int caller, long bornNanos, long deadlineNanos) {
+    Statement(int proxy, int caller, long createdNanos, long deadlineNanos) {
       this.proxy = proxy;
       this.caller = caller;
-      this.bornNanos = bornNanos;
+      this.createdNanos = createdNanos;
       this.deadlineNanos = deadlineNanos;
     }
   }
 
-  /** What the model counted. */
+  /** Results of a simulation run. */
   static final class Result {
     private static final int DIGITS = 3;
     final long[] offered = new long[2];
@@ -176,9 +178,9 @@
     long seconds;
     final Histogram answeredNanos = new Histogram(DIGITS);
 
-    void answered(int caller, boolean met, long nanos) {
+    void recordResponse(int caller, boolean beforeDeadline, long nanos) {
       answeredNanos.recordValue(nanos);
-      if (met) {
+      if (beforeDeadline) {
         inTime[caller == 0 ? 0 : 1]++;
       } else {
         late++;
@@ -189,12 +191,12 @@
       return (inTime[0] + inTime[1]) / (double) seconds;
     }
 
-    /** Share of the nine ordinary callers' statements that were answered in time. */
-    double othersShare() {
+    /** Returns the percentage of statements of the nine ordinary callers that completed in time. */
+    double ordinaryCallersShare() {
       return 100.0 * inTime[1] / offered[1];
     }
 
-    /** Share of the answers that came after the deadline. */
+    /** Returns the percentage of responses that arrived after the deadline. */
     double lateShare() {
       return 100.0 * late / Math.max(1, late + inTime[0] + inTime[1]);
     }
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/reads/ReadPolicy.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/reads/ReadPolicy.java
@@ -5,26 +5,29 @@
 import org.alderyard.proxy.routing.ReadRouter;
 import org.alderyard.proxy.routing.RoutingDecision;
 
-/** Where a read of the model goes. */
+/** Chooses the server of a simulated read. */
 interface ReadPolicy {
-  /** The primary. */
+  /** Replica number that denotes the primary. */
   int PRIMARY = -1;
 
-  /** Returns the choice for a read of a session that wrote a while ago. */
+  /** Chooses the server for a read, given the time since the last write of the session. */
   Choice choose(ReadRequest read, long sinceWriteNanos);
 
-  /** Whether the policy checks the position that an answer shows. */
-  boolean checksAnswers();
+  /**
+   * Returns whether stale responses of replicas are detected by position and retried at the
+   * primary.
+   */
+  boolean checksResponses();
 
   /**
-   * A choice.
+   * The chosen server and wait time.
    *
    * @param replica the number of the replica, or {@link #PRIMARY}
-   * @param waitNanos how long the read may wait for the replica; 0 for not at all
+   * @param waitNanos maximum time to wait for the replica, in nanoseconds; 0 sends immediately
    */
   record Choice(int replica, long waitNanos) {}
 
-  /** Returns the policy of the proxy, with the given budget for waiting. */
+  /** Returns the production policy of the proxy, based on the given router. */
   static ReadPolicy router(ReadRouter router) {
     return new ReadPolicy() {
       @Override
@@ -39,13 +42,15 @@
       }
 
       @Override
-      public boolean checksAnswers() {
+      public boolean checksResponses() {
         return true;
       }
     };
   }
 
-  /** Returns the naive rule: the primary for a fixed time after each write, then any replica. */
+  /**
+   * Returns a naive policy: the primary for a fixed time after each write, otherwise any replica.
+   */
   static ReadPolicy naive(long windowNanos, int replicas, RandomGenerator random) {
     return new ReadPolicy() {
       @Override
@@ -55,7 +60,7 @@
       }
 
       @Override
-      public boolean checksAnswers() {
+      public boolean checksResponses() {
         return false;
       }
     };
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/reads/ReadsBenchmark.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/reads/ReadsBenchmark.java
@@ -16,7 +16,7 @@
 import org.alderyard.proxy.routing.ReadRouter;
 import org.alderyard.proxy.routing.ServerChooser;
 
-/** Prints the tables of replica share and of goodput under overload; fails if a bound is broken. */
+/** Prints tables of replica share and of goodput under overload; fails if a bound is violated. */
 public final class ReadsBenchmark {
   private static final long SEED = 20_261_202;
   private static final long[] LAGS_MILLIS = {0, 50, 200, 1_000, 5_000};
@@ -30,17 +30,17 @@
   private static final double MIN_SESSION_SHARE = 90;
   private static final double MIN_GOODPUT_SHARE = 90;
 
-  private int broken;
+  private int violatedBounds;
 
   private ReadsBenchmark() {}
 
-  /** Runs all models; the exit code is 1 if a bound is broken. */
+  /** Runs all simulations; the exit code is 1 if a bound is violated. */
   public static void main(String[] args) {
     ReadsBenchmark benchmark = new ReadsBenchmark();
     benchmark.replicaShare();
     benchmark.overload();
-    System.out.println("bounds broken: " + benchmark.broken);
-    System.exit(benchmark.broken == 0 ? 0 : 1);
+    System.out.println("bounds broken: " + benchmark.violatedBounds);
+    System.exit(benchmark.violatedBounds == 0 ? 0 : 1);
   }
 
   private static ReadRouter router(long waitBudgetNanos) {
@@ -105,19 +105,20 @@
   }
 
   private void overload() {
-    Map<String, Optional<IntFunction<ConcurrencyLimit>>> ways = new TreeMap<>();
-    ways.put("1 none", Optional.empty());
-    ways.put("2 slots", Optional.of(FixedLimit::new));
-    ways.put("3 AIMD", Optional.of(AimdLimit::new));
-    ways.put("4 gradient", Optional.of(GradientLimit::new));
-    // Twelve proxies with the same demand have the same lease: 31 of 35 connections, 2 or 3 each.
-    ways.put("5 leased slots", Optional.of(slots -> new LeaseShareLimit(slots, () -> 2, () -> 35)));
+    Map<String, Optional<IntFunction<ConcurrencyLimit>>> limitsByName = new TreeMap<>();
+    limitsByName.put("1 none", Optional.empty());
+    limitsByName.put("2 slots", Optional.of(FixedLimit::new));
+    limitsByName.put("3 AIMD", Optional.of(AimdLimit::new));
+    limitsByName.put("4 gradient", Optional.of(GradientLimit::new));
+    // Twelve proxies with equal demand hold equal leases: 31 of 35 connections, 2 or 3 each.
+    limitsByName.put(
+        "5 leased slots", Optional.of(slots -> new LeaseShareLimit(slots, () -> 2, () -> 35)));
     System.out.println();
     System.out.println(
         "| limit | load | goodput /s | of peak % | late answers % | others in time % | p50 ms |"
             + " p99 ms |");
     System.out.println("|---|---:|---:|---:|---:|---:|---:|---:|");
-    ways.forEach(this::overload);
+    limitsByName.forEach(this::overload);
   }
 
   private void overload(String name, Optional<IntFunction<ConcurrencyLimit>> limits) {
@@ -135,7 +136,7 @@
               result.goodput(),
               ofPeak,
               result.lateShare(),
-              result.othersShare(),
+              result.ordinaryCallersShare(),
               result.answeredNanos.getValueAtPercentile(50) / 1e6,
               result.answeredNanos.getValueAtPercentile(99) / 1e6));
       if (name.equals("5 leased slots")) {
@@ -145,9 +146,9 @@
     }
   }
 
-  private void check(String bound, boolean holds) {
-    if (!holds) {
-      broken++;
+  private void check(String bound, boolean satisfied) {
+    if (!satisfied) {
+      violatedBounds++;
       System.out.println("BROKEN: " + bound);
     }
   }
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/reads/ReplicaShareModel.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/reads/ReplicaShareModel.java
@@ -24,11 +24,11 @@
 import org.alderyard.proxy.session.ReadRequirement;
 
 /**
- * One group with two replicas, two proxies, coordinators that write and read back, and browsers.
+ * Simulates a group with two replicas, two proxies, coordinators that write and read, and browsers.
  *
- * <p>A caller's next request goes to either proxy. Half of the reads are browsing with data of at
- * most 3 s, half are session reads of the coordinators. Think times are exponential with a mean of
- * one second, so that some reads follow a write at once.
+ * <p>Each request goes to a random proxy. Half of the reads are browsing reads with a staleness of
+ * at most 3 s, half are session reads of the coordinators. Think times are exponential with a mean
+ * of one second for coordinators, so that some reads follow a write immediately.
  */
 final class ReplicaShareModel {
   private static final int PROXIES = 2;
@@ -51,7 +51,7 @@
   private final double readShare;
   private final GroupState state;
   private final List<ServerState> servers = new ArrayList<>();
-  private final List<GroupFreshness> known = new ArrayList<>();
+  private final List<GroupFreshness> freshnessByProxy = new ArrayList<>();
   private final Result result = new Result();
 
   ReplicaShareModel(long seed, long lagMillis, double readShare, ReadPolicy policy) {
@@ -67,7 +67,7 @@
     for (int proxy = 0; proxy < PROXIES; proxy++) {
       GroupFreshness freshness = new GroupFreshness();
       freshness.onViewChange(state, servers.size());
-      known.add(freshness);
+      freshnessByProxy.add(freshness);
     }
   }
 
@@ -91,15 +91,15 @@
     for (int i = 0; i < CALLERS_OF_EACH_KIND; i++) {
       Caller browser = new Caller(false);
       Caller coordinator = new Caller(true);
-      queue.after(think(browser), () -> act(browser));
-      queue.after(think(coordinator), () -> act(coordinator));
+      queue.after(think(browser), () -> sendNext(browser));
+      queue.after(think(coordinator), () -> sendNext(coordinator));
     }
     queue.runUntil(seconds * SECOND);
     return result;
   }
 
   private long think(Caller caller) {
-    return (long) (-Math.log(1 - random.nextDouble()) * SECOND * caller.pace);
+    return (long) (-Math.log(1 - random.nextDouble()) * SECOND * caller.thinkTimeFactor);
   }
 
   private void measure(int proxy, int server) {
@@ -108,28 +108,35 @@
         HOP,
         () -> {
           long index = server == 0 ? group.primaryIndex() : group.appliedIndex(server - 1);
-          queue.after(HOP, () -> measured(proxy, server, index, sent));
+          queue.after(HOP, () -> onMeasurement(proxy, server, index, sent));
         });
   }
 
-  private void measured(int proxy, int server, long index, long sent) {
-    Position at = new Position(1, index);
-    known
+  private void onMeasurement(int proxy, int server, long index, long sent) {
+    Position position = new Position(1, index);
+    freshnessByProxy
         .get(proxy)
         .observe(
             new Measurement(
-                servers.get(server).id(), 1, 1, server == 0, at, at, sent, queue.now()));
+                servers.get(server).id(),
+                1,
+                1,
+                server == 0,
+                position,
+                position,
+                sent,
+                queue.now()));
     queue.after(MONITOR_INTERVAL, () -> measure(proxy, server));
   }
 
-  private void act(Caller caller) {
+  private void sendNext(Caller caller) {
     if (caller.coordinator && random.nextDouble() < caller.writeShare) {
       queue.after(
           HOP,
           () -> {
-            caller.seen = Math.max(caller.seen, group.write());
-            caller.wroteNanos = queue.now();
-            queue.after(HOP + think(caller), () -> act(caller));
+            caller.observedIndex = Math.max(caller.observedIndex, group.write());
+            caller.lastWriteNanos = queue.now();
+            queue.after(HOP + think(caller), () -> sendNext(caller));
           });
       return;
     }
@@ -138,11 +145,11 @@
 
   private void read(Caller caller, int proxy) {
     long started = queue.now();
-    GroupFreshness freshness = known.get(proxy);
+    GroupFreshness freshness = freshnessByProxy.get(proxy);
     ReadRequirement requirement =
-        caller.seen == 0
+        caller.observedIndex == 0
             ? ReadRequirement.NONE
-            : ReadRequirement.atLeast(new Position(1, caller.seen));
+            : ReadRequirement.atLeast(new Position(1, caller.observedIndex));
     ReadDemand demand =
         caller.coordinator
             ? ReadDemand.session(requirement)
@@ -160,7 +167,7 @@
             Integer.MAX_VALUE,
             started,
             DEADLINE);
-    ReadPolicy.Choice choice = policy.choose(request, started - caller.wroteNanos);
+    ReadPolicy.Choice choice = policy.choose(request, started - caller.lastWriteNanos);
     if (choice.waitNanos() > 0) {
       await(caller, proxy, choice.replica(), started, started + choice.waitNanos());
     } else {
@@ -168,10 +175,13 @@
     }
   }
 
-  /** Waits as a proxy does: until a measurement shows the position or the budget is over. */
+  /**
+   * Waits as a proxy does, until a measurement covers the position or the wait budget has elapsed.
+   */
   private void await(Caller caller, int proxy, int replica, long started, long untilNanos) {
-    Position applied = known.get(proxy).of(servers.get(replica + 1).id()).orElseThrow().applied();
-    if (EligibilityRule.covers(applied, new Position(1, caller.seen))) {
+    Position applied =
+        freshnessByProxy.get(proxy).of(servers.get(replica + 1).id()).orElseThrow().applied();
+    if (EligibilityRule.covers(applied, new Position(1, caller.observedIndex))) {
       send(caller, replica, started);
     } else if (queue.now() >= untilNanos) {
       send(caller, ReadPolicy.PRIMARY, started);
@@ -185,45 +195,47 @@
         HOP + SERVICE,
         () -> {
           boolean primary = replica == ReadPolicy.PRIMARY;
-          long shown = primary ? group.primaryIndex() : group.appliedIndex(replica);
-          long age = group.trueAgeNanos(shown);
-          boolean stale = caller.coordinator ? shown < caller.seen : age > BROWSING_STALENESS;
-          if (stale && policy.checksAnswers() && !primary) {
+          long readIndex = primary ? group.primaryIndex() : group.appliedIndex(replica);
+          long age = group.stalenessNanos(readIndex);
+          boolean stale =
+              caller.coordinator ? readIndex < caller.observedIndex : age > BROWSING_STALENESS;
+          if (stale && policy.checksResponses() && !primary) {
             send(caller, ReadPolicy.PRIMARY, started);
             return;
           }
-          queue.after(HOP, () -> answered(caller, primary, shown, stale, started));
+          queue.after(HOP, () -> onResponse(caller, primary, readIndex, stale, started));
         });
   }
 
-  private void answered(Caller caller, boolean primary, long shown, boolean stale, long started) {
+  private void onResponse(
+      Caller caller, boolean primary, long readIndex, boolean stale, long started) {
     if (caller.coordinator) {
-      caller.seen = Math.max(caller.seen, shown);
+      caller.observedIndex = Math.max(caller.observedIndex, readIndex);
     }
     if (queue.now() > WARM_UP) {
       result.add(caller.coordinator, primary, stale, queue.now() - started);
     }
-    queue.after(think(caller), () -> act(caller));
+    queue.after(think(caller), () -> sendNext(caller));
   }
 
   private final class Caller {
     final boolean coordinator;
     final double writeShare;
-    final double pace;
-    long seen;
-    long wroteNanos = -DEADLINE * 10;
+    final double thinkTimeFactor;
+    long observedIndex;
+    long lastWriteNanos = -DEADLINE * 10;
 
-    /** Coordinators do all writes and half of the reads; browsers the other half. */
+    /** Coordinators send all writes and half of the reads; browsers send the other half. */
     Caller(boolean coordinator) {
       this.coordinator = coordinator;
       double writes = 1 - readShare;
       double sessionReads = readShare / 2;
       writeShare = coordinator ? writes / (writes + sessionReads) : 0;
-      pace = coordinator ? 1 : (writes + sessionReads) / sessionReads;
+      thinkTimeFactor = coordinator ? 1 : (writes + sessionReads) / sessionReads;
     }
   }
 
-  /** What the model counted after its warm-up. */
+  /** Results of a simulation run without its warm-up. */
   static final class Result {
     private static final int DIGITS = 3;
     final long[] reads = new long[2];
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/reads/package-info.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/reads/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Models of reads and overload that run the real decisions under a paused clock.
+ * Simulations of reads and overload that run the production decision code with a simulated clock.
  *
- * <p>{@link org.alderyard.benchmarks.reads.ReadsBenchmark} prints the tables of the measurements
- * page in one command.
+ * <p>{@link org.alderyard.benchmarks.reads.ReadsBenchmark} runs all simulations and prints their
+ * result tables.
  */
 package org.alderyard.benchmarks.reads;
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/sketch/SketchBenchmark.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/sketch/SketchBenchmark.java
@@ -12,10 +12,10 @@
 import org.alderyard.common.time.MonotonicClock;
 
 /**
- * Compares summaries of a trace of latencies that is spread over twelve proxies and merged.
+ * Compares mergeable summaries of a latency trace that is distributed over twelve proxies.
  *
- * <p>The argument is a file with one latency in microseconds on each line, as {@code alderyard load
- * --trace FILE} writes it.
+ * <p>The argument is a file with one latency in microseconds per line, as written by {@code
+ * alderyard load --trace FILE}.
  */
 public final class SketchBenchmark {
   private static final int PROXIES = 12;
@@ -24,7 +24,7 @@
 
   private SketchBenchmark() {}
 
-  /** Prints a line for each summary. */
+  /** Prints one line per summary. */
   public static void main(String[] args) throws IOException {
     if (args.length != 1) {
       System.err.println("usage: SketchBenchmark TRACE-FILE");
@@ -53,36 +53,38 @@
     System.out.println(line);
   }
 
-  private static void run(String name, Supplier<TailSummary> maker, long[] trace, long[] sorted) {
+  private static void run(String name, Supplier<TailSummary> factory, long[] trace, long[] sorted) {
     long bestNanos = Long.MAX_VALUE;
     TailSummary merged = null;
     double bytes = 0;
     for (int round = 0; round < MERGE_ROUNDS; round++) {
-      List<TailSummary> parts = parts(maker, trace);
-      bytes = parts.stream().mapToInt(TailSummary::serializedBytes).average().orElse(0);
-      TailSummary whole = maker.get();
+      List<TailSummary> proxySummaries = proxySummaries(factory, trace);
+      bytes = proxySummaries.stream().mapToInt(TailSummary::serializedBytes).average().orElse(0);
+      TailSummary target = factory.get();
       long startNanos = MonotonicClock.system().nowNanos();
-      merged = whole.mergedWith(parts);
+      merged = target.mergedWith(proxySummaries);
       bestNanos = Math.min(bestNanos, MonotonicClock.system().nowNanos() - startNanos);
     }
     StringBuilder line =
         new StringBuilder(String.format("%s | %.0f | %.1f ", name, bytes, bestNanos / 1e3));
     for (double rank : RANKS) {
-      double truth = exact(sorted, rank);
-      line.append(String.format("| %.2f ", 100 * Math.abs(merged.quantile(rank) - truth) / truth));
+      double exactValue = exact(sorted, rank);
+      line.append(
+          String.format(
+              "| %.2f ", 100 * Math.abs(merged.quantile(rank) - exactValue) / exactValue));
     }
     System.out.println(line);
   }
 
-  private static List<TailSummary> parts(Supplier<TailSummary> maker, long[] trace) {
-    List<TailSummary> parts = new ArrayList<>();
+  private static List<TailSummary> proxySummaries(Supplier<TailSummary> factory, long[] trace) {
+    List<TailSummary> proxySummaries = new ArrayList<>();
     for (int proxy = 0; proxy < PROXIES; proxy++) {
-      parts.add(maker.get());
+      proxySummaries.add(factory.get());
     }
     for (int i = 0; i < trace.length; i++) {
-      parts.get(i % PROXIES).add(trace[i]);
+      proxySummaries.get(i % PROXIES).add(trace[i]);
     }
-    return parts;
+    return proxySummaries;
   }
 
   private static long exact(long[] sorted, double rank) {
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/sketch/TailSummary.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/sketch/TailSummary.java
@@ -6,7 +6,7 @@
 import org.apache.datasketches.req.ReqSketch;
 import org.apache.datasketches.req.ReqSketchBuilder;
 
-/** One way to summarize the values of a proxy so that summaries can be merged. */
+/** Mergeable summary of the latencies of a proxy. */
 interface TailSummary {
 
   void add(long micros);
@@ -17,7 +17,7 @@
 
   int serializedBytes();
 
-  /** A histogram of fixed relative resolution. */
+  /** Histogram with a fixed number of significant digits. */
   final class HdrSummary implements TailSummary {
     private static final long HIGHEST_MICROS = 120_000_000;
 
@@ -50,7 +50,7 @@
     }
   }
 
-  /** The relative-error sketch, accurate toward the high ranks. */
+  /** Relative-error quantile sketch with high-rank accuracy. */
   final class ReqSummary implements TailSummary {
     private final ReqSketch sketch;
 
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/sketch/package-info.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/sketch/package-info.java
@@ -1,2 +1,2 @@
-/** Whether a mergeable quantile sketch serves better than histograms for tails across proxies. */
+/** Compares a mergeable quantile sketch with histograms for tail latencies across proxies. */
 package org.alderyard.benchmarks.sketch;
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/view/BenchCluster.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/view/BenchCluster.java
@@ -17,14 +17,14 @@
 import org.alderyard.common.http.Json;
 import org.alderyard.testkit.net.FreePorts;
 
-/** Daemons as processes on this machine; the first ones are the control hosts. */
+/** Cluster of daemon processes on this machine; the first processes are the control hosts. */
 final class BenchCluster implements AutoCloseable {
   static final String CLUSTER_ID = "bench";
   static final String CLUSTER_KEY = "a secret of the whole cluster";
   private static final String OPERATOR_KEY = "operator-secret";
   private static final int HEAP_MIB = 96;
   private static final int START_ATTEMPTS = 600;
-  private static final int PAUSE_MILLIS = 50;
+  private static final int POLL_INTERVAL_MILLIS = 50;
 
   private final Path folder;
   private final HttpClient http = HttpClient.newHttpClient();
@@ -33,7 +33,10 @@
   private final List<Path> settings = new ArrayList<>();
   private final List<Integer> controlPorts = new ArrayList<>();
 
-  /** Several control hosts keep a synced log in data folders, a single one keeps it in memory. */
+  /**
+   * Creates a cluster without running hosts. Several control hosts store a synced log in data
+   * folders; a single control host keeps the log in memory.
+   */
   BenchCluster(Path folder, int controlHosts) throws IOException {
     this.folder = folder;
     for (int host = 0; host < controlHosts; host++) {
@@ -51,7 +54,7 @@
     return new InetSocketAddress("127.0.0.1", controlPorts.get(0));
   }
 
-  /** Starts the next host. */
+  /** Starts the next host with newly allocated ports. */
   void start() throws IOException {
     int number = processes.size();
     boolean control = number < controlPorts.size();
@@ -96,7 +99,7 @@
     settings.add(file);
   }
 
-  /** Returns the place of the host that leads. */
+  /** Returns the index of the leader. */
   int leader() throws IOException, InterruptedException {
     String name = get(0, "/v1/status").path("leader").asText();
     return Integer.parseInt(name.substring(1)) - 1;
@@ -131,19 +134,24 @@
     return Json.parseObject(response.body().getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Waits until this many hosts run the newest view. */
+  /**
+   * Blocks until at least the given number of hosts run the newest view.
+   *
+   * @throws IllegalStateException if the hosts do not reach the view in time
+   */
   void awaitHosts(int count) throws InterruptedException {
     for (int attempt = 0; attempt < START_ATTEMPTS; attempt++) {
       try {
         if (get(0, "/v1/status").path("hostsCurrent").asInt() >= count) {
           return;
         }
-      } catch (IOException notYet) {
+      } catch (IOException unavailable) {
         // The process is still starting.
       }
-      Thread.sleep(PAUSE_MILLIS);
+      Thread.sleep(POLL_INTERVAL_MILLIS);
     }
-    throw new IllegalStateException("the hosts did not start, see the logs in " + folder);
+    throw new IllegalStateException(
+        "hosts did not reach the newest view in time; see the logs in " + folder);
   }
 
   /** Submits a ticket that changes one group. */
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/view/DaemonProcess.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/view/DaemonProcess.java
@@ -9,10 +9,10 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** One daemon in its own process, with what the operating system says of it. */
+/** A daemon in a separate process, with resource usage as reported by the operating system. */
 final class DaemonProcess implements AutoCloseable {
   private static final long STOP_SECONDS = 5;
-  private static final int KIBI = 1024;
+  private static final int BYTES_PER_KIB = 1024;
 
   private final Process process;
 
@@ -20,7 +20,7 @@
     this.process = process;
   }
 
-  /** Starts a daemon with the heap of the launcher; its log goes to a file beside the settings. */
+  /** Starts a daemon with the given maximum heap; the log is written next to the settings file. */
   static DaemonProcess start(Path settings, int heapMib) throws IOException {
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
@@ -32,19 +32,19 @@
         new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(log.toFile()).start());
   }
 
-  /** Returns the processor time that it has used. */
+  /** Returns the processor time used by the process. */
   Duration processorTime() {
     return process.info().totalCpuDuration().orElseThrow();
   }
 
-  /** Returns the bytes that it has read and written, almost all of it on sockets. */
+  /** Returns the number of bytes read and written by the process, almost all of them on sockets. */
   long bytes() {
     return value("io", "rchar") + value("io", "wchar");
   }
 
-  /** Returns its resident memory in bytes. */
+  /** Returns the resident memory of the process, in bytes. */
   long residentBytes() {
-    return value("status", "VmRSS") * KIBI;
+    return value("status", "VmRSS") * BYTES_PER_KIB;
   }
 
   private long value(String file, String field) {
@@ -55,12 +55,12 @@
           .mapToLong(Long::parseLong)
           .findFirst()
           .orElseThrow();
-    } catch (IOException unreadable) {
-      throw new UncheckedIOException(unreadable);
+    } catch (IOException failure) {
+      throw new UncheckedIOException(failure);
     }
   }
 
-  /** Ends the process without a shutdown, as a loss of power does. */
+  /** Kills the process without a shutdown, as in a power failure. */
   void kill() {
     process.destroyForcibly();
     process.onExit().join();
@@ -73,7 +73,7 @@
       if (!process.waitFor(STOP_SECONDS, TimeUnit.SECONDS)) {
         process.destroyForcibly();
       }
-    } catch (InterruptedException stopped) {
+    } catch (InterruptedException interrupted) {
       Thread.currentThread().interrupt();
     }
   }
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/view/FanOutBenchmark.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/view/FanOutBenchmark.java
@@ -24,17 +24,17 @@
 import org.alderyard.proxy.view.ViewHolder;
 
 /**
- * What one control host spends on its subscribers, and each subscriber on its view.
+ * Measures the cost of subscribers for a control host, and of the view for each subscriber.
  *
- * <p>The control host is a process of its own, so that the operating system counts its bytes and
- * processor time; the subscribers run the real client in this process.
+ * <p>The control host runs in a separate process, so that the operating system accounts for its
+ * bytes and processor time. The subscribers run the production client in this process.
  */
 final class FanOutBenchmark {
   private static final int[] SUBSCRIBERS = {50, 200, 500, 1_000};
   private static final int IDLE_SECONDS = 10;
   private static final int TICKETS = 200;
   private static final int TICKET_PAUSE_MILLIS = 50;
-  private static final int SETTLE_MILLIS = 1_000;
+  private static final int SETTLE_DELAY_MILLIS = 1_000;
   private static final double MIB = 1024.0 * 1024;
 
   private final MonotonicClock clock = MonotonicClock.system();
@@ -51,11 +51,11 @@
     }
   }
 
-  /** What has been spent up to one moment. */
-  private record Spent(long nanos, long controlBytes, long controlMicros, long ownMicros) {}
+  /** Cumulative resource usage at one point in time. */
+  private record ResourceUsage(long nanos, long controlBytes, long controlMicros, long ownMicros) {}
 
-  private Spent spent(BenchCluster cluster) {
-    return new Spent(
+  private ResourceUsage resourceUsage(BenchCluster cluster) {
+    return new ResourceUsage(
         clock.nowNanos(),
         cluster.control().bytes(),
         cluster.control().processorTime().toNanos() / 1_000,
@@ -85,15 +85,15 @@
         subscribers.addAll(subscribe(cluster, workers, loops, i));
       }
       cluster.awaitHosts(count + 1);
-      // The compiler's work on the control process would count as the cost of being idle.
+      // Warms up the control process: JIT compilation would otherwise count as idle cost.
       submit(cluster, 1);
-      Thread.sleep(SETTLE_MILLIS);
-      final Spent start = spent(cluster);
+      Thread.sleep(SETTLE_DELAY_MILLIS);
+      final ResourceUsage start = resourceUsage(cluster);
       Thread.sleep(Duration.ofSeconds(IDLE_SECONDS).toMillis());
-      final Spent idle = spent(cluster);
+      final ResourceUsage idle = resourceUsage(cluster);
       submit(cluster, TICKETS + 1);
-      Thread.sleep(SETTLE_MILLIS);
-      final Spent loaded = spent(cluster);
+      Thread.sleep(SETTLE_DELAY_MILLIS);
+      final ResourceUsage loaded = resourceUsage(cluster);
       double heapKib = (heapBytes() - heapBefore) / 1024.0 / count;
       String line = line(count, start, idle, loaded, cluster.control().residentBytes(), heapKib);
       closeAll(subscribers);
@@ -122,9 +122,10 @@
                 new ClusterKey(BenchCluster.CLUSTER_KEY.getBytes(StandardCharsets.UTF_8)),
                 Duration.ofSeconds(5),
                 64));
-    InetSocketAddress nowhere = new InetSocketAddress("127.0.0.1", 1);
+    InetSocketAddress unusedAddress = new InetSocketAddress("127.0.0.1", 1);
     HostState self =
-        new HostState(id, 1, new ZoneName("zone-a"), nowhere, nowhere, true, false, false);
+        new HostState(
+            id, 1, new ZoneName("zone-a"), unusedAddress, unusedAddress, true, false, false);
     ViewClient client =
         new ViewClient(
             new ControlClient(links, List.of(cluster.controlAddress()), workers),
@@ -137,7 +138,12 @@
   }
 
   private static String line(
-      int count, Spent start, Spent idle, Spent loaded, long residentBytes, double heapKib) {
+      int count,
+      ResourceUsage start,
+      ResourceUsage idle,
+      ResourceUsage loaded,
+      long residentBytes,
+      double heapKib) {
     double idleSeconds = (idle.nanos() - start.nanos()) / 1e9;
     double loadedSeconds = (loaded.nanos() - idle.nanos()) / 1e9;
     double idleBytes = (idle.controlBytes() - start.controlBytes()) / idleSeconds;
@@ -146,24 +152,24 @@
     double bytes = loaded.controlBytes() - idle.controlBytes() - idleBytes * loadedSeconds;
     double micros = loaded.controlMicros() - idle.controlMicros() - idleMicros * loadedSeconds;
     double own = loaded.ownMicros() - idle.ownMicros() - ownIdle * loadedSeconds;
-    double each = (double) count * TICKETS;
+    double deliveries = (double) count * TICKETS;
     return String.format(
         "  %4d  %12.0f  %13.0f  %12.0f  %13.1f  %15.1f  %13.0f  %13.1f  %12.1f",
         count,
         idleBytes / count,
         idleMicros / count,
-        bytes / each,
-        micros / each,
+        bytes / deliveries,
+        micros / deliveries,
         residentBytes / MIB,
         ownIdle / count,
-        own / each,
+        own / deliveries,
         heapKib);
   }
 
-  private static void closeAll(List<AutoCloseable> parts) throws IOException {
-    for (AutoCloseable part : parts) {
+  private static void closeAll(List<AutoCloseable> resources) throws IOException {
+    for (AutoCloseable resource : resources) {
       try {
-        part.close();
+        resource.close();
       } catch (Exception failure) {
         throw new IOException(failure);
       }
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/view/InForceBenchmark.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/view/InForceBenchmark.java
@@ -7,13 +7,15 @@
 import org.HdrHistogram.Histogram;
 import org.alderyard.common.time.MonotonicClock;
 
-/** The time from a ticket's submission until the leader knows it in force on 12 proxies. */
+/**
+ * Measures the time from submission of a ticket until the leader reports it in force on 12 proxies.
+ */
 final class InForceBenchmark {
   private static final int PROXIES = 12;
   private static final int CONTROL_HOSTS = 3;
   private static final int WARM_UP = 50;
   private static final int TICKETS = 500;
-  private static final int PAUSE_MILLIS = 20;
+  private static final int TICKET_INTERVAL_MILLIS = 20;
   private static final double MICROS_PER_MILLI = 1_000.0;
 
   private final MonotonicClock clock = MonotonicClock.system();
@@ -27,13 +29,13 @@
       }
       cluster.awaitHosts(PROXIES);
       for (int number = 1; number <= WARM_UP + TICKETS; number++) {
-        boolean counted = number > WARM_UP;
+        boolean measured = number > WARM_UP;
         submit(
             cluster,
             number,
-            counted ? accepted : new Histogram(3),
-            counted ? inForce : new Histogram(3));
-        Thread.sleep(PAUSE_MILLIS);
+            measured ? accepted : new Histogram(3),
+            measured ? inForce : new Histogram(3));
+        Thread.sleep(TICKET_INTERVAL_MILLIS);
       }
     }
     out.printf(
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/view/LeaderLossBenchmark.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/view/LeaderLossBenchmark.java
@@ -8,7 +8,10 @@
 import java.util.concurrent.TimeUnit;
 import org.alderyard.common.time.MonotonicClock;
 
-/** The time until a ticket is in force on all survivors when it is sent as the leader dies. */
+/**
+ * Measures the time until a ticket submitted right after a leader failure is in force on all
+ * surviving hosts.
+ */
 final class LeaderLossBenchmark {
   private static final int PROXIES = 12;
   private static final int CONTROL_HOSTS = 3;
@@ -50,7 +53,7 @@
           return;
         }
       } catch (IOException noLeaderYet) {
-        // Asked again below.
+        // Retried below until a new leader responds.
       }
       Thread.sleep(1);
     }
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/view/RestartBenchmark.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/view/RestartBenchmark.java
@@ -17,7 +17,7 @@
 import org.alderyard.protocol.generated.state.ViewSnapshot;
 import org.alderyard.protocol.view.ViewCodec;
 
-/** The size of a snapshot, the time to restore it, and the time of one change, by group count. */
+/** Measures snapshot size, restore time and time per change by number of groups. */
 final class RestartBenchmark {
   private static final int[] GROUPS = {1_000, 5_500, 11_000, 22_000};
   private static final int SERVERS_PER_GROUP = 3;
@@ -40,7 +40,7 @@
   private void measure(PrintStream out, int groups)
       throws com.google.protobuf.InvalidProtocolBufferException {
     long heapBefore = heapBytes();
-    ControlState state = filled(groups);
+    ControlState state = stateWithGroups(groups);
     final double heapMib = (heapBytes() - heapBefore) / MIB;
     ByteString stored = state.snapshot();
     ByteString view = ViewCodec.snapshot(state.view()).toByteString();
@@ -74,7 +74,7 @@
     return (double) micros(start) / CHANGES;
   }
 
-  private static ControlState filled(int groups) {
+  private static ControlState stateWithGroups(int groups) {
     ControlState state = new ControlState(change -> {});
     long index = 0;
     List<ObjectState> objects = new ArrayList<>();
@@ -86,12 +86,12 @@
         objects.clear();
       }
     }
-    ControlState full = new ControlState(change -> {});
-    full.restore(index, withServers(state, groups));
-    return full;
+    ControlState stateWithServers = new ControlState(change -> {});
+    stateWithServers.restore(index, withServers(state, groups));
+    return stateWithServers;
   }
 
-  /** Adds the servers to the stored state at once: one command each would take minutes here. */
+  /** Adds the servers directly to the stored state; one command per server would take minutes. */
   private static ByteString withServers(ControlState state, int groups) {
     try {
       var stored =
@@ -106,8 +106,8 @@
                 .setLeaseMillis(Announcement.getDefaultInstance().getLeaseMillis() + 1_500));
       }
       return stored.build().toByteString();
-    } catch (com.google.protobuf.InvalidProtocolBufferException damaged) {
-      throw new IllegalStateException(damaged);
+    } catch (com.google.protobuf.InvalidProtocolBufferException invalidSnapshot) {
+      throw new IllegalStateException(invalidSnapshot);
     }
   }
 
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/view/ViewBenchmarks.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/view/ViewBenchmarks.java
@@ -7,16 +7,16 @@
 import java.util.List;
 import org.slf4j.LoggerFactory;
 
-/** Runs the benchmarks of tickets and views; arguments name them, none runs all. */
+/** Runs the named benchmarks of tickets and views, or all without arguments. */
 public final class ViewBenchmarks {
   private static final List<String> ALL = List.of("restart", "in-force", "leader-loss", "fan-out");
 
   private ViewBenchmarks() {}
 
-  /** Runs the benchmarks that are named. */
+  /** Runs the benchmarks named by the arguments; without arguments, all. */
   public static void main(String[] args) throws Exception {
     List<String> names = args.length == 0 ? ALL : List.of(args);
-    // A line for each view at each of 1,000 subscribers would be most of what is measured.
+    // One log line per view at each of 1,000 subscribers would dominate the measurement.
     ((Logger) LoggerFactory.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME)).setLevel(Level.ERROR);
     Path root = Files.createTempDirectory("alderyard-views");
     for (String name : names) {
@@ -32,7 +32,7 @@
         }
       }
     }
-    // The daemons' loggers and pools hold no work any more.
+    // Ends the remaining threads of loggers and pools, which have no pending work.
     System.exit(0);
   }
 }
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/view/package-info.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/view/package-info.java
@@ -1,2 +1,2 @@
-/** What tickets and views cost: time until in force, bytes, processor time, memory, restart. */
+/** Benchmarks of tickets and views: time until in force, bytes, processor time, memory, restart. */
 package org.alderyard.benchmarks.view;
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/writes/BenchGroup.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/writes/BenchGroup.java
@@ -21,7 +21,7 @@
 import org.alderyard.testkit.standin.StandInOptions;
 import org.alderyard.testkit.standin.StandInServer;
 
-/** A primary and two replicas in this process, and the view that names them. */
+/** In-process primary and two replicas, with the view that contains them. */
 final class BenchGroup implements AutoCloseable {
   static final GroupId GROUP = new GroupId("g");
   private static final int SERVERS = 3;
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/writes/WritesBenchmark.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/writes/WritesBenchmark.java
@@ -39,8 +39,8 @@
 import org.xnio.XnioWorker;
 
 /**
- * Prints latency, throughput, polls and allocation of writes: sent to the primary without a proxy,
- * through the path of writes acknowledged by the primary alone, and by a majority.
+ * Prints latency, throughput, polls and allocation of writes: sent directly to the primary, and
+ * sent through the write path with acknowledgement by the primary only or by a majority.
  */
 public final class WritesBenchmark {
   private static final int[] CONCURRENCIES = {1, 5, 20};
@@ -87,22 +87,22 @@
 
   /** Runs all cases; the exit code is 1 if a write failed. */
   public static void main(String[] args) throws Exception {
-    // Log lines would be measured with the writes, and their cost depends on where they go.
+    // Log output would distort the measurement, and its cost depends on the destination.
     ((Logger) LoggerFactory.getLogger(Logger.ROOT_LOGGER_NAME)).setLevel(Level.WARN);
     WritesBenchmark benchmark = new WritesBenchmark();
     System.out.println(
         "| way | in flight | writes/s | p50 us | p99 us | polls/write | bytes/write |");
     System.out.println("|---|---|---|---|---|---|---|");
     for (int concurrency : CONCURRENCIES) {
-      benchmark.direct(concurrency);
-      benchmark.path("primary only", WriteAcknowledgement.PRIMARY_ONLY, concurrency);
-      benchmark.path("majority", WriteAcknowledgement.MAJORITY, concurrency);
+      benchmark.measureDirect(concurrency);
+      benchmark.measureWritePath("primary only", WriteAcknowledgement.PRIMARY_ONLY, concurrency);
+      benchmark.measureWritePath("majority", WriteAcknowledgement.MAJORITY, concurrency);
     }
     System.out.println("failed writes: " + benchmark.failures);
     System.exit(benchmark.failures.get() == 0 ? 0 : 1);
   }
 
-  private void direct(int concurrency) throws Exception {
+  private void measureDirect(int concurrency) throws Exception {
     ConcurrentLinkedQueue<ServerConnection> idle = new ConcurrentLinkedQueue<>();
     for (int number = 0; number < concurrency; number++) {
       idle.add(connector.connect(group.primary(), TIMEOUT).join());
@@ -132,7 +132,7 @@
     return "order-" + numbers.incrementAndGet() % 1_000;
   }
 
-  private void path(String name, WriteAcknowledgement acknowledgement, int concurrency)
+  private void measureWritePath(String name, WriteAcknowledgement acknowledgement, int concurrency)
       throws Exception {
     measure(
         name,
@@ -155,7 +155,7 @@
     run(concurrency, WARM_UP, write, new ConcurrentHistogram(3));
     ConcurrentHistogram latencies = new ConcurrentHistogram(3);
     final long polls = writes.acknowledgementPolls();
-    final long bytes = allocated();
+    final long bytes = allocatedBytes();
     long start = System.nanoTime();
     run(concurrency, WRITES, write, latencies);
     double seconds = (System.nanoTime() - start) / 1e9;
@@ -167,10 +167,10 @@
         latencies.getValueAtPercentile(50) / 1e3,
         latencies.getValueAtPercentile(99) / 1e3,
         (double) (writes.acknowledgementPolls() - polls) / WRITES,
-        (allocated() - bytes) / WRITES);
+        (allocatedBytes() - bytes) / WRITES);
   }
 
-  /** Keeps so many writes in flight until all are done. */
+  /** Runs the given number of writes at constant concurrency and waits for their completion. */
   private void run(
       int concurrency,
       int count,
@@ -178,21 +178,21 @@
       ConcurrentHistogram latencies)
       throws InterruptedException {
     CountDownLatch done = new CountDownLatch(count);
-    AtomicInteger left = new AtomicInteger(count);
+    AtomicInteger remaining = new AtomicInteger(count);
     for (int slot = 0; slot < concurrency; slot++) {
-      workers.execute(() -> next(left, done, write, latencies));
+      workers.execute(() -> writeNext(remaining, done, write, latencies));
     }
     if (!done.await(TIMEOUT.toSeconds() * concurrency, TimeUnit.SECONDS)) {
       failures.incrementAndGet();
     }
   }
 
-  private void next(
-      AtomicInteger left,
+  private void writeNext(
+      AtomicInteger remaining,
       CountDownLatch done,
       Supplier<CompletableFuture<?>> write,
       ConcurrentHistogram latencies) {
-    if (left.getAndDecrement() <= 0) {
+    if (remaining.getAndDecrement() <= 0) {
       return;
     }
     long start = System.nanoTime();
@@ -205,19 +205,19 @@
                 failures.incrementAndGet();
               }
               done.countDown();
-              workers.execute(() -> next(left, done, write, latencies));
+              workers.execute(() -> writeNext(remaining, done, write, latencies));
             });
   }
 
-  /** Bytes that the threads of the proxy's side allocated; the stand-ins' are not counted. */
-  private static long allocated() {
+  /** Returns the bytes allocated by the proxy threads, without those of the stand-in servers. */
+  private static long allocatedBytes() {
     long sum = 0;
     for (ThreadInfo thread : THREADS.getThreadInfo(THREADS.getAllThreadIds())) {
-      boolean own =
+      boolean isProxyThread =
           thread != null
               && (thread.getThreadName().startsWith(IO_NAME)
                   || thread.getThreadName().startsWith(WORKER_NAME));
-      if (own) {
+      if (isProxyThread) {
         sum += THREADS.getThreadAllocatedBytes(thread.getThreadId());
       }
     }
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/writes/package-info.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/writes/package-info.java
@@ -1,2 +1,2 @@
-/** What a write costs on its way through a proxy, against in-process stand-in servers. */
+/** Benchmarks of writes through a proxy to in-process stand-in servers. */
 package org.alderyard.benchmarks.writes;
--- a/alderyard-benchmarks/src/test/java/org/alderyard/benchmarks/reads/ReadsBoundsTest.java
+++ b/alderyard-benchmarks/src/test/java/org/alderyard/benchmarks/reads/ReadsBoundsTest.java
@@ -10,7 +10,7 @@
 import org.alderyard.proxy.routing.ServerChooser;
 import org.junit.jupiter.api.Test;
 
-/** The bounds of the measurements page, on shorter runs of the same models. */
+/** Checks the bounds of {@link ReadsBenchmark} on shorter runs of the same simulations. */
 class ReadsBoundsTest {
   private static final long SEED = 3;
   private static final long WAIT_BUDGET_NANOS = 300_000_000;
@@ -24,29 +24,31 @@
   }
 
   @Test
-  void replicasServeReadsAtOrdinaryLag() {
+  void replicasServeReadsAtModerateLag() {
     ReplicaShareModel.Result result = share(200, 0.9);
     assertThat(result.violations).isEqualTo(0);
     assertThat(result.browsingShare()).isAtLeast(99.0);
     assertThat(result.sessionShare()).isAtLeast(90.0);
   }
 
-  /** Replicas 5 s behind may not serve what demands 3 s: the share goes, the promise stays. */
+  /**
+   * Replicas with 5 s of lag must not serve reads that accept 3 s; only the replica share drops.
+   */
   @Test
-  void farBehindReplicasServeNothingStale() {
+  void replicasBeyondTheStalenessBoundServeNoStaleReads() {
     ReplicaShareModel.Result result = share(5_000, 0.5);
     assertThat(result.violations).isEqualTo(0);
     assertThat(result.browsingShare()).isLessThan(10.0);
   }
 
   @Test
-  void naiveRuleIsCaughtByTheSameCheck() {
+  void naivePolicyViolatesTheStalenessBound() {
     ReadPolicy naive = ReadPolicy.naive(2_000_000_000L, 2, new SplittableRandom(SEED));
     assertThat(new ReplicaShareModel(SEED, 5_000, 0.9, naive).run(40).violations).isGreaterThan(0);
   }
 
   @Test
-  void goodputHoldsAtTenTimesTheLoad() {
+  void goodputIsKeptAtTenTimesTheLoad() {
     OverloadModel.Result once = overload(1);
     OverloadModel.Result tenfold = overload(10);
     assertThat(tenfold.goodput()).isAtLeast(0.9 * once.goodput());
