--- a/alderyard-cli/src/main/java/org/alderyard/cli/Main.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/Main.java
@@ -15,17 +15,17 @@
 import org.alderyard.cli.prove.ProveCommand;
 import org.alderyard.cli.prove.SoakCommand;
 
-/** The command line of {@code alderyard}. */
+/** Entry point of the {@code alderyard} command line. */
 public final class Main {
 
   private Main() {}
 
-  /** Runs one sub-command and exits with its code. */
+  /** Runs a sub-command and exits the process with the exit code of the sub-command. */
   public static void main(String[] args) {
-    System.exit(tool(System.out, System.err).run(args).number());
+    System.exit(commandLine(System.out, System.err).run(args).number());
   }
 
-  static CommandLineTool tool(PrintStream out, PrintStream err) {
+  static CommandLineTool commandLine(PrintStream out, PrintStream err) {
     return new CommandLineTool("alderyard", commands(), out, err);
   }
 
@@ -33,9 +33,9 @@
     return List.of(
         new TicketApplyCommand(),
         new ShowCommand(
-            "ticket show", "show a ticket's answer", List.of("NUMBER"), "/v1/tickets/{}"),
+            "ticket show", "show the response to a ticket", List.of("NUMBER"), "/v1/tickets/{}"),
         new ShowCommand("ticket list", "list the tickets", List.of(), "/v1/tickets"),
-        new ShowCommand("status", "show the state of the whole system", List.of(), "/v1/status"),
+        new ShowCommand("status", "show the status of the system", List.of(), "/v1/status"),
         new ShowCommand("pools", "list the pools", List.of(), "/v1/pools"),
         new ShowCommand("groups", "list the database groups", List.of(), "/v1/groups"),
         new ShowCommand("servers", "list the backend servers", List.of(), "/v1/servers"),
--- a/alderyard-cli/src/main/java/org/alderyard/cli/command/CheckSettingsCommand.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/command/CheckSettingsCommand.java
@@ -6,11 +6,14 @@
 import org.alderyard.daemon.ExitCode;
 import org.apache.commons.cli.Options;
 
-/** Checks a settings file of the daemon without starting it. */
+/** Validates a settings file of the daemon without starting the daemon. */
 public final class CheckSettingsCommand implements Command {
   private static final CommandSpec SPEC =
       new CommandSpec(
-          "check-settings", "check a settings file of alderyardd", List.of("FILE"), new Options());
+          "check-settings",
+          "validate a settings file of alderyardd",
+          List.of("FILE"),
+          new Options());
 
   @Override
   public CommandSpec spec() {
--- a/alderyard-cli/src/main/java/org/alderyard/cli/command/CommandLineTool.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/command/CommandLineTool.java
@@ -15,7 +15,7 @@
 import org.apache.commons.cli.ParseException;
 import org.apache.commons.text.similarity.LevenshteinDistance;
 
-/** Finds the sub-command of a command line, runs it, and renders help and errors. */
+/** Selects and runs the sub-command of a command line, and prints help and errors. */
 public final class CommandLineTool {
   private static final int HELP_WIDTH = 100;
 
@@ -24,7 +24,7 @@
   private final PrintStream out;
   private final PrintStream err;
 
-  /** Creates a tool of the given sub-commands. */
+  /** Creates a command line with the given program name and sub-commands. */
   public CommandLineTool(String program, List<Command> commands, PrintStream out, PrintStream err) {
     this.program = program;
     this.commands = List.copyOf(commands);
@@ -32,7 +32,7 @@
     this.err = err;
   }
 
-  /** Runs one command line. */
+  /** Runs the sub-command that the arguments select; failures are reported as exit codes. */
   public ExitCode run(String... args) {
     if (args.length == 0 || args[0].equals("--help") || args[0].equals("help")) {
       printOverview(out);
@@ -40,9 +40,9 @@
     }
     try {
       return runCommand(List.of(args));
-    } catch (UsageException wrong) {
-      err.println(program + ": " + wrong.getMessage());
-      wrong.spec().ifPresent(spec -> printHelp(spec, err));
+    } catch (UsageException exception) {
+      err.println(program + ": " + exception.getMessage());
+      exception.spec().ifPresent(spec -> printHelp(spec, err));
       return ExitCode.USAGE;
     } catch (AlderyardException failure) {
       err.println(program + ": " + failure.code() + ": " + failure.getMessage());
@@ -51,14 +51,14 @@
   }
 
   private ExitCode runCommand(List<String> args) {
-    Command command = find(args).orElseThrow(() -> unknown(args));
+    Command command = findCommand(args).orElseThrow(() -> unknownCommand(args));
     CommandSpec spec = command.spec();
-    List<String> rest = args.subList(spec.words().size(), args.size());
-    if (rest.contains("--help")) {
+    List<String> remaining = args.subList(spec.words().size(), args.size());
+    if (remaining.contains("--help")) {
       printHelp(spec, out);
       return ExitCode.OK;
     }
-    CommandLine line = parse(spec, rest);
+    CommandLine line = parse(spec, remaining);
     List<String> arguments = line.getArgList();
     if (arguments.size() != spec.arguments().size()) {
       throw new UsageException(
@@ -67,15 +67,15 @@
     return command.run(new Invocation(spec, line, arguments, out, err));
   }
 
-  private static CommandLine parse(CommandSpec spec, List<String> rest) {
+  private static CommandLine parse(CommandSpec spec, List<String> remaining) {
     try {
-      return new DefaultParser().parse(spec.options(), rest.toArray(String[]::new));
-    } catch (ParseException wrong) {
-      throw new UsageException(spec, wrong.getMessage());
+      return new DefaultParser().parse(spec.options(), remaining.toArray(String[]::new));
+    } catch (ParseException exception) {
+      throw new UsageException(spec, exception.getMessage());
     }
   }
 
-  private Optional<Command> find(List<String> args) {
+  private Optional<Command> findCommand(List<String> args) {
     return commands.stream()
         .filter(
             command -> {
@@ -85,7 +85,7 @@
         .findFirst();
   }
 
-  private UsageException unknown(List<String> args) {
+  private UsageException unknownCommand(List<String> args) {
     String given =
         args.size() > 1 && !args.get(1).startsWith("-")
             ? args.get(0) + " " + args.get(1)
@@ -103,18 +103,18 @@
         "no sub-command '" + given + "'; the nearest is '" + nearest + "', --help lists all");
   }
 
-  private void printOverview(PrintStream to) {
-    to.println("usage: " + program + " SUB-COMMAND [OPTIONS]");
-    to.println();
+  private void printOverview(PrintStream stream) {
+    stream.println("usage: " + program + " SUB-COMMAND [OPTIONS]");
+    stream.println();
     for (Command command : commands) {
-      to.printf("  %-16s %s%n", command.spec().name(), command.spec().summary());
+      stream.printf("  %-16s %s%n", command.spec().name(), command.spec().summary());
     }
-    to.println();
-    to.println(program + " SUB-COMMAND --help shows its options.");
+    stream.println();
+    stream.println(program + " SUB-COMMAND --help shows its options.");
   }
 
-  private void printHelp(CommandSpec spec, PrintStream to) {
-    PrintWriter writer = new PrintWriter(to, true, StandardCharsets.UTF_8);
+  private void printHelp(CommandSpec spec, PrintStream stream) {
+    PrintWriter writer = new PrintWriter(stream, true, StandardCharsets.UTF_8);
     writer.println(
         "usage: " + program + " " + spec.name() + " [OPTIONS] " + argumentText(spec, ""));
     writer.println(spec.summary());
@@ -127,13 +127,13 @@
   }
 
   private static String wrap(String text) {
-    int rest = HELP_WIDTH - 33;
+    int width = HELP_WIDTH - 33;
     return org.apache.commons.text.WordUtils.wrap(
-        String.valueOf(text), rest, System.lineSeparator() + " ".repeat(33), false);
+        String.valueOf(text), width, System.lineSeparator() + " ".repeat(33), false);
   }
 
-  private static String argumentText(CommandSpec spec, String none) {
-    return spec.arguments().isEmpty() ? none : String.join(" ", spec.arguments());
+  private static String argumentText(CommandSpec spec, String emptyText) {
+    return spec.arguments().isEmpty() ? emptyText : String.join(" ", spec.arguments());
   }
 
   private static ExitCode exitCode(ErrorCode code) {
--- a/alderyard-cli/src/main/java/org/alderyard/cli/command/CommandSpec.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/command/CommandSpec.java
@@ -5,16 +5,16 @@
 import org.apache.commons.cli.Options;
 
 /**
- * What a sub-command accepts; it never changes once it is built.
+ * The immutable specification of a sub-command.
  *
- * @param name one or two words, as {@code ticket apply}
- * @param summary one line for the overview
- * @param arguments the names of the arguments that must follow, in order
- * @param options the options
+ * @param name one or two words, for example {@code ticket apply}
+ * @param summary one-line description for the list of sub-commands
+ * @param arguments names of the required positional arguments, in order
+ * @param options the accepted options
  */
 public record CommandSpec(String name, String summary, List<String> arguments, Options options) {
 
-  /** Checks and copies. */
+  /** Rejects null components and copies the arguments. */
   public CommandSpec {
     Objects.requireNonNull(name);
     Objects.requireNonNull(summary);
@@ -22,7 +22,7 @@
     arguments = List.copyOf(arguments);
   }
 
-  /** Returns the words of the name. */
+  /** Returns the name split at its spaces. */
   public List<String> words() {
     return List.of(name.split(" "));
   }
--- a/alderyard-cli/src/main/java/org/alderyard/cli/command/Invocation.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/command/Invocation.java
@@ -6,37 +6,47 @@
 import org.apache.commons.cli.CommandLine;
 
 /**
- * One run of a sub-command: what was given, and where its output goes.
+ * The parsed command line of a sub-command and its output streams.
  *
- * @param spec what the sub-command accepts
+ * @param spec specification of the sub-command
  * @param line the parsed options
- * @param arguments the arguments, as many as the specification names
- * @param out where results go
- * @param err where progress and errors go
+ * @param arguments positional arguments; their number matches the specification
+ * @param out stream for results
+ * @param err stream for progress and errors
  */
 public record Invocation(
     CommandSpec spec, CommandLine line, List<String> arguments, PrintStream out, PrintStream err) {
 
-  /** Returns the value of an option, if it was given. */
+  /** Returns the value of an option, or empty if the option is absent. */
   public Optional<String> option(String name) {
     return Optional.ofNullable(line.getOptionValue(name));
   }
 
-  /** Returns the value of an option that must be given. */
-  public String required(String name) {
+  /**
+   * Returns the value of a mandatory option.
+   *
+   * @throws UsageException if the option is absent
+   */
+  public String requiredOption(String name) {
     return option(name).orElseThrow(() -> new UsageException(spec, "--" + name + " is missing"));
   }
 
-  /** Returns whether an option was given. */
-  public boolean has(String name) {
+  /** Returns whether the command line contains an option. */
+  public boolean hasOption(String name) {
     return line.hasOption(name);
   }
 
-  /** Returns the whole number of an option, in a range. */
-  public long number(String name, long preset, long min, long max) {
+  /**
+   * Returns the integer value of an option, or the default value if the option is absent.
+   *
+   * @param min lowest accepted value
+   * @param max highest accepted value
+   * @throws UsageException if the value is not an integer or is out of range
+   */
+  public long numberOption(String name, long defaultValue, long min, long max) {
     Optional<String> text = option(name);
     if (text.isEmpty()) {
-      return preset;
+      return defaultValue;
     }
     try {
       long value = Long.parseLong(text.get());
@@ -44,7 +54,7 @@
         return value;
       }
     } catch (NumberFormatException notNumber) {
-      // Falls through to the typed error below.
+      // The usage error below covers this case too.
     }
     throw new UsageException(
         spec,
--- a/alderyard-cli/src/main/java/org/alderyard/cli/command/TokenInspectCommand.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/command/TokenInspectCommand.java
@@ -12,12 +12,12 @@
 import org.alderyard.protocol.generated.session.SignedToken;
 import org.apache.commons.cli.Options;
 
-/** Shows what a session token holds; its signature is not checked, that needs the key. */
+/** Prints the content of a session token; verifying the signature would require the key. */
 public final class TokenInspectCommand implements Command {
   private static final CommandSpec SPEC =
       new CommandSpec(
           "token inspect",
-          "show what a session token holds, without checking its signature",
+          "show the content of a session token, without verifying its signature",
           List.of("TOKEN"),
           new Options());
 
@@ -32,9 +32,9 @@
     return ExitCode.OK;
   }
 
-  private static ObjectNode inspect(String text) {
+  private static ObjectNode inspect(String encoded) {
     try {
-      SignedToken signed = SignedToken.parseFrom(Base64.getUrlDecoder().decode(text));
+      SignedToken signed = SignedToken.parseFrom(Base64.getUrlDecoder().decode(encoded));
       SessionToken token = SessionToken.parseFrom(signed.getContent());
       ObjectNode node = Json.object();
       node.put("keyId", signed.getKeyId());
@@ -53,7 +53,8 @@
                       .put("index", position.getIndex()));
       return node;
     } catch (IllegalArgumentException | InvalidProtocolBufferException damaged) {
-      throw AlderyardException.notRun(ErrorCode.TOKEN_DAMAGED, "the token can't be read");
+      throw AlderyardException.notRun(
+          ErrorCode.TOKEN_DAMAGED, "the session token can't be decoded");
     }
   }
 }
--- a/alderyard-cli/src/main/java/org/alderyard/cli/command/UsageException.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/command/UsageException.java
@@ -5,25 +5,25 @@
 import org.alderyard.common.error.ErrorCode;
 import org.alderyard.common.error.Outcome;
 
-/** A command line is wrong; the message says what was wrong and what is accepted. */
+/** Reports an invalid command line; the message states the problem and the accepted values. */
 public class UsageException extends AlderyardException {
   private static final long serialVersionUID = 1L;
 
   private final transient Optional<CommandSpec> spec;
 
-  /** Creates an error about a sub-command's options or arguments. */
+  /** Creates an exception about the options or arguments of a sub-command. */
   public UsageException(CommandSpec spec, String problem) {
     super(ErrorCode.BAD_REQUEST, Outcome.NOT_RUN, spec.name() + ": " + problem);
     this.spec = Optional.of(spec);
   }
 
-  /** Creates an error about the sub-command itself. */
+  /** Creates an exception about a missing or unknown sub-command. */
   public UsageException(String problem) {
     super(ErrorCode.BAD_REQUEST, Outcome.NOT_RUN, problem);
     spec = Optional.empty();
   }
 
-  /** Returns the sub-command that was meant, if it is known. */
+  /** Returns the specification of the sub-command, or empty if the sub-command is unknown. */
   public Optional<CommandSpec> spec() {
     return spec;
   }
--- a/alderyard-cli/src/main/java/org/alderyard/cli/command/package-info.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/command/package-info.java
@@ -1,2 +1,2 @@
-/** Sub-commands: what each accepts, apart from its run and from the rendering of help. */
+/** Command line parsing, help output, and the specifications of sub-commands. */
 package org.alderyard.cli.command;
--- a/alderyard-cli/src/main/java/org/alderyard/cli/demo/DemoCommand.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/demo/DemoCommand.java
@@ -1,7 +1,7 @@
 package org.alderyard.cli.demo;
 
-import static org.alderyard.cli.command.OptionNames.flag;
-import static org.alderyard.cli.command.OptionNames.valued;
+import static org.alderyard.cli.command.CommonOptions.flag;
+import static org.alderyard.cli.command.CommonOptions.valued;
 
 import java.io.IOException;
 import java.io.PrintStream;
@@ -51,8 +51,8 @@
 
   @Override
   public ExitCode run(Invocation invocation) {
-    int seconds = (int) invocation.number("seconds", DEFAULT_SECONDS, 4, 600);
-    int rate = (int) invocation.number("rate", DEFAULT_RATE, 1, 10_000);
+    int seconds = (int) invocation.numberOption("seconds", DEFAULT_SECONDS, 4, 600);
+    int rate = (int) invocation.numberOption("rate", DEFAULT_RATE, 1, 10_000);
     Path folder = temporaryFolder();
     boolean good = false;
     try (LocalSystem system = new LocalSystem(PLAN, folder)) {
@@ -63,7 +63,7 @@
     } catch (IOException failure) {
       throw new UncheckedIOException(failure);
     } finally {
-      if (good && !invocation.has("keep")) {
+      if (good && !invocation.hasOption("keep")) {
         delete(folder);
       } else {
         invocation.out().println("settings and logs: " + folder);
--- a/alderyard-cli/src/main/java/org/alderyard/cli/explain/ExplainCommand.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/explain/ExplainCommand.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import org.alderyard.cli.command.Command;
 import org.alderyard.cli.command.CommandSpec;
+import org.alderyard.cli.command.CommonOptions;
 import org.alderyard.cli.command.Invocation;
-import org.alderyard.cli.command.OptionNames;
 import org.alderyard.common.error.AlderyardException;
 import org.alderyard.common.error.ErrorCode;
 import org.alderyard.daemon.ExitCode;
@@ -30,12 +30,12 @@
           "tell the story of one request from the logs in a folder",
           List.of("FOLDER"),
           new Options()
-              .addOption(OptionNames.valued("request", "ID", "the request's id"))
+              .addOption(CommonOptions.valued("request", "ID", "the request's id"))
               .addOption(
-                  OptionNames.valued(
+                  CommonOptions.valued(
                       "margin-millis", "N", "how much before and after it is shown; 3000"))
               .addOption(
-                  OptionNames.flag("strict", "end at a line that is not one of this system")));
+                  CommonOptions.flag("strict", "end at a line that is not one of this system")));
 
   @Override
   public CommandSpec spec() {
@@ -44,12 +44,12 @@
 
   @Override
   public ExitCode run(Invocation invocation) {
-    String request = invocation.required("request");
-    long margin = invocation.number("margin-millis", DEFAULT_MARGIN_MILLIS, 0, 3_600_000);
+    String request = invocation.requiredOption("request");
+    long margin = invocation.numberOption("margin-millis", DEFAULT_MARGIN_MILLIS, 0, 3_600_000);
     List<LogLine> lines = new ArrayList<>();
     int unreadable = 0;
     for (Path file : files(Path.of(invocation.arguments().get(0)))) {
-      unreadable += read(file, invocation.has("strict"), lines);
+      unreadable += read(file, invocation.hasOption("strict"), lines);
     }
     if (unreadable > 0) {
       invocation.err().println(unreadable + " lines are not of this system and were passed over");
--- a/alderyard-cli/src/main/java/org/alderyard/cli/load/LoadCommand.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/load/LoadCommand.java
@@ -1,7 +1,7 @@
 package org.alderyard.cli.load;
 
-import static org.alderyard.cli.command.OptionNames.flag;
-import static org.alderyard.cli.command.OptionNames.valued;
+import static org.alderyard.cli.command.CommonOptions.flag;
+import static org.alderyard.cli.command.CommonOptions.valued;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -11,8 +11,8 @@
 import java.util.List;
 import org.alderyard.cli.command.Command;
 import org.alderyard.cli.command.CommandSpec;
+import org.alderyard.cli.command.CommonOptions;
 import org.alderyard.cli.command.Invocation;
-import org.alderyard.cli.command.OptionNames;
 import org.alderyard.cli.command.UsageException;
 import org.alderyard.common.http.Json;
 import org.alderyard.common.settings.SettingType;
@@ -43,7 +43,7 @@
         .addOption(valued("deadline-millis", "N", "time limit of a request; default 5000"))
         .addOption(valued("report", "FILE", "write the report as JSON to this file"))
         .addOption(valued("trace", "FILE", "write each latency in microseconds to this file"))
-        .addOption(flag(OptionNames.JSON, "print the report as JSON"));
+        .addOption(flag(CommonOptions.JSON, "print the report as JSON"));
   }
 
   @Override
@@ -56,15 +56,15 @@
     LoadPlan plan =
         new LoadPlan(
             parse(invocation, "proxies", SettingTypes.list(SettingTypes.address())),
-            invocation.required("pool"),
-            invocation.has("mix")
+            invocation.requiredOption("pool"),
+            invocation.hasOption("mix")
                 ? parse(invocation, "mix", SettingTypes.word(Mix.class))
                 : Mix.BRAZOS,
-            (int) invocation.number("rate", 200, 1, 100_000),
-            Duration.ofSeconds(invocation.number("seconds", 10, 1, 86_400)),
-            (int) invocation.number("keys", 500, 1, 1_000_000),
-            invocation.number("seed", 1, 0, Long.MAX_VALUE),
-            Duration.ofMillis(invocation.number("deadline-millis", 5_000, 1, 600_000)));
+            (int) invocation.numberOption("rate", 200, 1, 100_000),
+            Duration.ofSeconds(invocation.numberOption("seconds", 10, 1, 86_400)),
+            (int) invocation.numberOption("keys", 500, 1, 1_000_000),
+            invocation.numberOption("seed", 1, 0, Long.MAX_VALUE),
+            Duration.ofMillis(invocation.numberOption("deadline-millis", 5_000, 1, 600_000)));
     LoadReport report = new LoadRun(plan, MonotonicClock.system(), invocation.err()::println).run();
     invocation
         .option("report")
@@ -74,12 +74,15 @@
         .ifPresent(file -> write(Path.of(file), report.trace().getBytes(StandardCharsets.UTF_8)));
     invocation
         .out()
-        .println(invocation.has(OptionNames.JSON) ? Json.pretty(report.toJson()) : report.toText());
+        .println(
+            invocation.hasOption(CommonOptions.JSON)
+                ? Json.pretty(report.toJson())
+                : report.toText());
     return report.clean() ? ExitCode.OK : ExitCode.FAILED;
   }
 
   private static <T> T parse(Invocation invocation, String option, SettingType<T> type) {
-    String text = invocation.required(option);
+    String text = invocation.requiredOption(option);
     return type.parse(text)
         .orElseThrow(
             () ->
--- a/alderyard-cli/src/main/java/org/alderyard/cli/operator/DrainCommand.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/operator/DrainCommand.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import org.alderyard.cli.command.Command;
 import org.alderyard.cli.command.CommandSpec;
+import org.alderyard.cli.command.CommonOptions;
 import org.alderyard.cli.command.Invocation;
-import org.alderyard.cli.command.OptionNames;
 import org.alderyard.common.http.Json;
 import org.alderyard.daemon.ExitCode;
 
@@ -12,7 +12,10 @@
 public final class DrainCommand implements Command {
   private static final CommandSpec SPEC =
       new CommandSpec(
-          "drain", "make a host take no new work", List.of("HOST"), OptionNames.operatorOptions());
+          "drain",
+          "make a host take no new work",
+          List.of("HOST"),
+          CommonOptions.operatorOptions());
 
   @Override
   public CommandSpec spec() {
--- a/alderyard-cli/src/main/java/org/alderyard/cli/operator/OperatorClient.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/operator/OperatorClient.java
@@ -10,8 +10,8 @@
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.Optional;
+import org.alderyard.cli.command.CommonOptions;
 import org.alderyard.cli.command.Invocation;
-import org.alderyard.cli.command.OptionNames;
 import org.alderyard.cli.command.UsageException;
 import org.alderyard.common.error.AlderyardException;
 import org.alderyard.common.error.ErrorCode;
@@ -35,8 +35,8 @@
 
   /** Returns a client for the host and key that the options or the environment name. */
   static OperatorClient of(Invocation invocation) {
-    String address = value(invocation, OptionNames.OPERATOR, ADDRESS_VARIABLE);
-    String keyFile = value(invocation, OptionNames.KEY_FILE, KEY_FILE_VARIABLE);
+    String address = value(invocation, CommonOptions.OPERATOR, ADDRESS_VARIABLE);
+    String keyFile = value(invocation, CommonOptions.KEY_FILE, KEY_FILE_VARIABLE);
     try {
       return new OperatorClient(address, Files.readString(Path.of(keyFile)).trim());
     } catch (IOException unreadable) {
--- a/alderyard-cli/src/main/java/org/alderyard/cli/operator/ShowCommand.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/operator/ShowCommand.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import org.alderyard.cli.command.Command;
 import org.alderyard.cli.command.CommandSpec;
+import org.alderyard.cli.command.CommonOptions;
 import org.alderyard.cli.command.Invocation;
-import org.alderyard.cli.command.OptionNames;
 import org.alderyard.common.http.Json;
 import org.alderyard.daemon.ExitCode;
 
@@ -22,7 +22,7 @@
    * @param path the path of the resource; {@code {}} stands for the one argument
    */
   public ShowCommand(String name, String summary, List<String> arguments, String path) {
-    spec = new CommandSpec(name, summary, arguments, OptionNames.operatorOptions());
+    spec = new CommandSpec(name, summary, arguments, CommonOptions.operatorOptions());
     this.path = path;
   }
 
@@ -42,7 +42,7 @@
   }
 
   static void print(JsonNode answer, Invocation invocation) {
-    if (invocation.has(OptionNames.JSON)) {
+    if (invocation.hasOption(CommonOptions.JSON)) {
       invocation.out().println(Json.pretty(answer));
     } else {
       TextTable.print(answer, invocation.out());
--- a/alderyard-cli/src/main/java/org/alderyard/cli/operator/TicketApplyCommand.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/operator/TicketApplyCommand.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import org.alderyard.cli.command.Command;
 import org.alderyard.cli.command.CommandSpec;
+import org.alderyard.cli.command.CommonOptions;
 import org.alderyard.cli.command.Invocation;
-import org.alderyard.cli.command.OptionNames;
 import org.alderyard.cli.command.UsageException;
 import org.alderyard.common.http.Json;
 import org.alderyard.daemon.ExitCode;
@@ -25,7 +25,7 @@
           "ticket apply",
           "send a change ticket; the file holds its number and objects",
           List.of("FILE"),
-          OptionNames.operatorOptions());
+          CommonOptions.operatorOptions());
 
   @Override
   public CommandSpec spec() {
--- a/alderyard-cli/src/main/java/org/alderyard/cli/package-info.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The binary {@code alderyard}: the operators' and developers' command line.
+ * The {@code alderyard} command line for operators and developers.
  *
- * <p>{@link org.alderyard.cli.command} says what the sub-commands accept, {@link
- * org.alderyard.cli.operator} talks to the operators' port, {@link org.alderyard.cli.load} is the
- * load tool and {@link org.alderyard.cli.demo} the demonstration.
+ * <p>{@link org.alderyard.cli.command} parses command lines, {@link org.alderyard.cli.operator}
+ * sends requests to the operators' port, {@link org.alderyard.cli.load} is the load generator and
+ * {@link org.alderyard.cli.demo} the demonstration.
  */
 package org.alderyard.cli;
--- a/alderyard-cli/src/main/java/org/alderyard/cli/prove/Attack.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/prove/Attack.java
@@ -1,6 +1,6 @@
 package org.alderyard.cli.prove;
 
-import static org.alderyard.cli.command.OptionNames.valued;
+import static org.alderyard.cli.command.CommonOptions.valued;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -49,11 +49,11 @@
   }
 
   static Attack read(Invocation invocation, Presets presets) {
-    int hosts = (int) invocation.number(HOSTS, presets.hosts(), CONTROL_HOSTS + 1, 12);
+    int hosts = (int) invocation.numberOption(HOSTS, presets.hosts(), CONTROL_HOSTS + 1, 12);
     return new Attack(
         new SystemPlan(hosts, CONTROL_HOSTS, presets.groups(), presets.linked(), APPLY_LAG_MILLIS),
-        Duration.ofSeconds(invocation.number(SECONDS, presets.seconds(), 5, 86_400)),
-        (int) invocation.number(RATE, presets.ratePerSecond(), 1, 10_000));
+        Duration.ofSeconds(invocation.numberOption(SECONDS, presets.seconds(), 5, 86_400)),
+        (int) invocation.numberOption(RATE, presets.ratePerSecond(), 1, 10_000));
   }
 
   /** Starts the system in a folder, attacks it, ends it and returns how the promises fared. */
--- a/alderyard-cli/src/main/java/org/alderyard/cli/prove/ProveCommand.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/prove/ProveCommand.java
@@ -1,7 +1,7 @@
 package org.alderyard.cli.prove;
 
-import static org.alderyard.cli.command.OptionNames.flag;
-import static org.alderyard.cli.command.OptionNames.valued;
+import static org.alderyard.cli.command.CommonOptions.flag;
+import static org.alderyard.cli.command.CommonOptions.valued;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -10,8 +10,8 @@
 import java.util.List;
 import org.alderyard.cli.command.Command;
 import org.alderyard.cli.command.CommandSpec;
+import org.alderyard.cli.command.CommonOptions;
 import org.alderyard.cli.command.Invocation;
-import org.alderyard.cli.command.OptionNames;
 import org.alderyard.common.http.Json;
 import org.alderyard.daemon.ExitCode;
 import org.apache.commons.cli.Options;
@@ -34,7 +34,7 @@
               .addOption(valued("seed", "N", "start of all random choices; default 1"))
               .addOption(
                   flag(ALLOW_UNPROVED, "a run too short to attack every promise is no failure"))
-              .addOption(flag(OptionNames.JSON, "print the report as JSON")));
+              .addOption(flag(CommonOptions.JSON, "print the report as JSON")));
 
   @Override
   public CommandSpec spec() {
@@ -43,7 +43,7 @@
 
   @Override
   public ExitCode run(Invocation invocation) {
-    long seed = invocation.number("seed", 1, 0, Integer.MAX_VALUE);
+    long seed = invocation.numberOption("seed", 1, 0, Integer.MAX_VALUE);
     Attack attack = Attack.read(invocation, PRESETS);
     try {
       Path folder = Files.createTempDirectory("alderyard-prove");
@@ -53,8 +53,10 @@
       invocation
           .out()
           .println(
-              invocation.has(OptionNames.JSON) ? Json.pretty(report.toJson()) : report.toText());
-      boolean attacked = report.allAttacked() || invocation.has(ALLOW_UNPROVED);
+              invocation.hasOption(CommonOptions.JSON)
+                  ? Json.pretty(report.toJson())
+                  : report.toText());
+      boolean attacked = report.allAttacked() || invocation.hasOption(ALLOW_UNPROVED);
       return report.unbroken() && attacked ? ExitCode.OK : ExitCode.FAILED;
     } catch (IOException failure) {
       throw new UncheckedIOException(failure);
--- a/alderyard-cli/src/main/java/org/alderyard/cli/prove/SoakCommand.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/prove/SoakCommand.java
@@ -1,6 +1,6 @@
 package org.alderyard.cli.prove;
 
-import static org.alderyard.cli.command.OptionNames.valued;
+import static org.alderyard.cli.command.CommonOptions.valued;
 
 import java.io.IOException;
 import java.io.PrintStream;
@@ -43,8 +43,8 @@
 
   @Override
   public ExitCode run(Invocation invocation) {
-    long first = invocation.number("first-seed", 1, 0, Integer.MAX_VALUE);
-    long count = invocation.number("seeds", 5, 1, 10_000);
+    long first = invocation.numberOption("first-seed", 1, 0, Integer.MAX_VALUE);
+    long count = invocation.numberOption("seeds", 5, 1, 10_000);
     Attack attack = Attack.read(invocation, PRESETS);
     SoakReport soak = new SoakReport();
     for (long seed = first; seed < first + count; seed++) {
--- a/alderyard-cli/src/test/java/org/alderyard/cli/MainTest.java
+++ b/alderyard-cli/src/test/java/org/alderyard/cli/MainTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What the command line accepts, and how it refuses the rest. */
+/** Tests parsing, help, usage errors and exit codes of the command line. */
 class MainTest {
   @TempDir Path folder;
   private final ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -31,7 +31,7 @@
     "chek-settings x, check-settings",
     "loda --rate 5, load"
   })
-  void unknownSubCommandNamesTheNearestOne(String line, String nearest) {
+  void unknownSubCommandSuggestsNearestName(String line, String nearest) {
     assertThat(run(line.split(" "))).isEqualTo(ExitCode.USAGE);
     assertThat(err.toString(StandardCharsets.UTF_8)).contains("the nearest is '" + nearest + "'");
   }
@@ -45,7 +45,7 @@
     "drain, got 0 arguments; accepted: HOST",
     "groups --colour, Unrecognized option: --colour"
   })
-  void usageErrorSaysWhatIsAccepted(String line, String text) {
+  void usageErrorStatesAcceptedValues(String line, String text) {
     assertThat(run(line.split(" "))).isEqualTo(ExitCode.USAGE);
     assertThat(err.toString(StandardCharsets.UTF_8)).contains(text);
   }
@@ -58,14 +58,14 @@
   }
 
   @Test
-  void wrongSettingsHaveTheirOwnExitCode() throws IOException {
+  void invalidSettingsReturnSettingsExitCode() throws IOException {
     Path file = Files.writeString(folder.resolve("bad.ini"), "[host]\ncolour = red\n");
     assertThat(run("check-settings", file.toString())).isEqualTo(ExitCode.SETTINGS);
     assertThat(err.toString(StandardCharsets.UTF_8)).contains("[host] colour: the key is unknown");
   }
 
   @Test
-  void tokenInspectShowsPositions() {
+  void tokenInspectPrintsPositions() {
     SessionToken token =
         SessionToken.newBuilder()
             .setPool("orders")
@@ -80,7 +80,7 @@
   }
 
   private ExitCode run(String... args) {
-    return Main.tool(
+    return Main.commandLine(
             new PrintStream(out, true, StandardCharsets.UTF_8),
             new PrintStream(err, true, StandardCharsets.UTF_8))
         .run(args);
