--- a/alderyard-cli/src/main/java/org/alderyard/cli/operator/DrainCommand.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/operator/DrainCommand.java
@@ -8,12 +8,12 @@
 import org.alderyard.common.http.Json;
 import org.alderyard.daemon.ExitCode;
 
-/** Makes a host take no new work, so that it can be stopped without a cut request. */
+/** Drains a host, so that it can be stopped without interrupting requests in flight. */
 public final class DrainCommand implements Command {
   private static final CommandSpec SPEC =
       new CommandSpec(
           "drain",
-          "make a host take no new work",
+          "drain a host: the host accepts no new work",
           List.of("HOST"),
           CommonOptions.operatorOptions());
 
--- a/alderyard-cli/src/main/java/org/alderyard/cli/operator/OperatorClient.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/operator/OperatorClient.java
@@ -18,7 +18,7 @@
 import org.alderyard.common.error.Outcome;
 import org.alderyard.common.http.Json;
 
-/** Calls the operators' port of one host. */
+/** HTTP client for the operators' port of a host. */
 final class OperatorClient {
   private static final Duration TIMEOUT = Duration.ofSeconds(15);
   private static final String ADDRESS_VARIABLE = "ALDERYARD_OPERATOR";
@@ -33,10 +33,10 @@
     this.key = key;
   }
 
-  /** Returns a client for the host and key that the options or the environment name. */
+  /** Creates a client from the address and key file in the options or the environment. */
   static OperatorClient of(Invocation invocation) {
-    String address = value(invocation, CommonOptions.OPERATOR, ADDRESS_VARIABLE);
-    String keyFile = value(invocation, CommonOptions.KEY_FILE, KEY_FILE_VARIABLE);
+    String address = optionOrVariable(invocation, CommonOptions.OPERATOR, ADDRESS_VARIABLE);
+    String keyFile = optionOrVariable(invocation, CommonOptions.KEY_FILE, KEY_FILE_VARIABLE);
     try {
       return new OperatorClient(address, Files.readString(Path.of(keyFile)).trim());
     } catch (IOException unreadable) {
@@ -45,14 +45,15 @@
     }
   }
 
-  private static String value(Invocation invocation, String option, String variable) {
+  private static String optionOrVariable(Invocation invocation, String option, String variable) {
     return invocation
         .option(option)
         .or(() -> Optional.ofNullable(System.getenv(variable)))
         .orElseThrow(
             () ->
                 new UsageException(
-                    invocation.spec(), "--" + option + " is missing, and " + variable + " too"));
+                    invocation.spec(),
+                    "--" + option + " is missing and " + variable + " is not set"));
   }
 
   JsonNode get(String path) {
@@ -78,20 +79,25 @@
       HttpResponse<byte[]> response = http.send(request, HttpResponse.BodyHandlers.ofByteArray());
       JsonNode body = Json.parseObject(response.body());
       if (body.has("error")) {
-        throw error(body.path("error"));
+        throw toException(body.path("error"));
       }
       return body;
-    } catch (IOException unreachable) {
+    } catch (IOException failure) {
       throw AlderyardException.unknown(
-          ErrorCode.CONNECTION_LOST, address + " gave no answer: " + unreachable, unreachable);
-    } catch (InterruptedException stopped) {
+          ErrorCode.CONNECTION_LOST, address + ": no response: " + failure, failure);
+    } catch (InterruptedException interrupted) {
       Thread.currentThread().interrupt();
-      throw AlderyardException.unknown(ErrorCode.CONNECTION_LOST, "interrupted", stopped);
+      throw AlderyardException.unknown(ErrorCode.CONNECTION_LOST, "interrupted", interrupted);
     }
   }
 
-  /** Returns the error of an answer; what this build does not know of it is in doubt. */
-  static AlderyardException error(JsonNode error) {
+  /**
+   * Converts the error of a response to an exception.
+   *
+   * <p>An unknown error code becomes {@code INTERNAL} and an unknown outcome becomes {@code
+   * OUTCOME_UNKNOWN}, since a newer host may send values that this version doesn't define.
+   */
+  static AlderyardException toException(JsonNode error) {
     StringBuilder message = new StringBuilder(error.path("message").asText());
     error
         .path("faults")
@@ -105,7 +111,7 @@
   private static ErrorCode code(String name) {
     try {
       return ErrorCode.valueOf(name);
-    } catch (IllegalArgumentException newerHost) {
+    } catch (IllegalArgumentException unknownName) {
       return ErrorCode.INTERNAL;
     }
   }
@@ -113,7 +119,7 @@
   private static Outcome outcome(String name) {
     try {
       return Outcome.valueOf(name);
-    } catch (IllegalArgumentException newerHost) {
+    } catch (IllegalArgumentException unknownName) {
       return Outcome.OUTCOME_UNKNOWN;
     }
   }
--- a/alderyard-cli/src/main/java/org/alderyard/cli/operator/ShowCommand.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/operator/ShowCommand.java
@@ -9,17 +9,17 @@
 import org.alderyard.common.http.Json;
 import org.alderyard.daemon.ExitCode;
 
-/** A sub-command that reads one resource and prints it. */
+/** A sub-command that fetches a resource from a host and prints it. */
 public final class ShowCommand implements Command {
-  private static final String ARGUMENT = "{}";
+  private static final String ARGUMENT_PLACEHOLDER = "{}";
 
   private final CommandSpec spec;
   private final String path;
 
   /**
-   * Creates the sub-command.
+   * Creates a sub-command that shows the resource at a path.
    *
-   * @param path the path of the resource; {@code {}} stands for the one argument
+   * @param path path of the resource; {@code {}} is replaced by the positional argument
    */
   public ShowCommand(String name, String summary, List<String> arguments, String path) {
     spec = new CommandSpec(name, summary, arguments, CommonOptions.operatorOptions());
@@ -36,16 +36,16 @@
     String resource =
         invocation.arguments().isEmpty()
             ? path
-            : path.replace(ARGUMENT, invocation.arguments().get(0));
+            : path.replace(ARGUMENT_PLACEHOLDER, invocation.arguments().get(0));
     print(OperatorClient.of(invocation).get(resource), invocation);
     return ExitCode.OK;
   }
 
-  static void print(JsonNode answer, Invocation invocation) {
+  static void print(JsonNode response, Invocation invocation) {
     if (invocation.hasOption(CommonOptions.JSON)) {
-      invocation.out().println(Json.pretty(answer));
+      invocation.out().println(Json.pretty(response));
     } else {
-      TextTable.print(answer, invocation.out());
+      TextTable.print(response, invocation.out());
     }
   }
 }
--- a/alderyard-cli/src/main/java/org/alderyard/cli/operator/TextTable.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/operator/TextTable.java
@@ -8,36 +8,37 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Renders a JSON answer as lines of text: single values first, then a table for each list. */
+/** Prints a JSON response as text: a line for each scalar field and a table for each array. */
 final class TextTable {
 
   private TextTable() {}
 
-  static void print(JsonNode answer, PrintStream out) {
-    for (Map.Entry<String, JsonNode> field : answer.properties()) {
+  static void print(JsonNode response, PrintStream out) {
+    for (Map.Entry<String, JsonNode> field : response.properties()) {
       if (field.getValue().isArray()) {
         printList(field.getKey(), field.getValue(), out);
       } else {
-        out.println(field.getKey() + ": " + text(field.getValue()));
+        out.println(field.getKey() + ": " + format(field.getValue()));
       }
     }
   }
 
-  private static void printList(String name, JsonNode list, PrintStream out) {
-    out.println(name + ": " + list.size());
+  private static void printList(String name, JsonNode array, PrintStream out) {
+    out.println(name + ": " + array.size());
     Set<String> columns = new LinkedHashSet<>();
-    list.forEach(row -> row.fieldNames().forEachRemaining(columns::add));
+    array.forEach(row -> row.fieldNames().forEachRemaining(columns::add));
     if (columns.isEmpty()) {
-      list.forEach(value -> out.println("  " + text(value)));
+      array.forEach(value -> out.println("  " + format(value)));
       return;
     }
     List<List<String>> rows = new ArrayList<>();
     rows.add(List.copyOf(columns));
-    list.forEach(row -> rows.add(columns.stream().map(name2 -> text(row.path(name2))).toList()));
-    rows.forEach(row -> out.println(line(row, rows)));
+    array.forEach(
+        row -> rows.add(columns.stream().map(column -> format(row.path(column))).toList()));
+    rows.forEach(row -> out.println(formatRow(row, rows)));
   }
 
-  private static String line(List<String> row, List<List<String>> rows) {
+  private static String formatRow(List<String> row, List<List<String>> rows) {
     StringBuilder line = new StringBuilder(" ");
     for (int column = 0; column < row.size(); column++) {
       int index = column;
@@ -47,7 +48,7 @@
     return line.toString().stripTrailing();
   }
 
-  private static String text(JsonNode value) {
+  private static String format(JsonNode value) {
     if (value.isNull() || value.isMissingNode()) {
       return "-";
     }
--- a/alderyard-cli/src/main/java/org/alderyard/cli/operator/TicketApplyCommand.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/operator/TicketApplyCommand.java
@@ -15,7 +15,7 @@
 import org.alderyard.daemon.ExitCode;
 
 /**
- * Sends a ticket; sending the same file again is safe, and gives the first answer.
+ * Submits a change ticket; submitting the same file again is safe and returns the first response.
  *
  * <p>Example: {@code alderyard ticket apply --operator 10.0.0.1:7002 --key-file op.key 17.json}
  */
@@ -23,7 +23,7 @@
   private static final CommandSpec SPEC =
       new CommandSpec(
           "ticket apply",
-          "send a change ticket; the file holds its number and objects",
+          "submit a change ticket; the file contains its number and objects",
           List.of("FILE"),
           CommonOptions.operatorOptions());
 
@@ -48,10 +48,10 @@
                 body.set(field.getKey(), field.getValue());
               }
             });
-    JsonNode answer =
+    JsonNode response =
         OperatorClient.of(invocation)
             .put("/v1/tickets/" + ticket.path("number").asLong(), Json.bytes(body));
-    ShowCommand.print(answer, invocation);
+    ShowCommand.print(response, invocation);
     return ExitCode.OK;
   }
 
--- a/alderyard-cli/src/main/java/org/alderyard/cli/operator/package-info.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/operator/package-info.java
@@ -1,2 +1,2 @@
-/** The sub-commands that talk to the operators' port of a host. */
+/** Sub-commands that send requests to the operators' port of a host. */
 package org.alderyard.cli.operator;
--- a/alderyard-cli/src/test/java/org/alderyard/cli/operator/OperatorClientTest.java
+++ b/alderyard-cli/src/test/java/org/alderyard/cli/operator/OperatorClientTest.java
@@ -8,25 +8,25 @@
 import org.alderyard.common.http.Json;
 import org.junit.jupiter.api.Test;
 
-/** Guards against an operator who is told that a ticket did not run, though it may have. */
+/** Checks that a ticket which may have run is never reported to the operator as not run. */
 class OperatorClientTest {
-  private static AlderyardException told(String code, String outcome) {
-    return OperatorClient.error(
+  private static AlderyardException exceptionFor(String code, String outcome) {
+    return OperatorClient.toException(
         Json.object().put("code", code).put("message", "m").put("outcome", outcome));
   }
 
   @Test
-  void outcomeIsTheHostsAndNotGuessed() {
-    AlderyardException unclear = told("NO_QUORUM", "OUTCOME_UNKNOWN");
+  void outcomeIsTakenFromTheResponse() {
+    AlderyardException unclear = exceptionFor("NO_QUORUM", "OUTCOME_UNKNOWN");
 
     assertThat(unclear.code()).isEqualTo(ErrorCode.NO_QUORUM);
     assertThat(unclear.outcome()).isEqualTo(Outcome.OUTCOME_UNKNOWN);
-    assertThat(told("TICKET_CONFLICT", "NOT_RUN").outcome()).isEqualTo(Outcome.NOT_RUN);
+    assertThat(exceptionFor("TICKET_CONFLICT", "NOT_RUN").outcome()).isEqualTo(Outcome.NOT_RUN);
   }
 
   @Test
-  void wordsOfNewerHostAreInDoubt() {
-    AlderyardException newer = told("SOMETHING_NEW", "SOMETHING_ELSE");
+  void unknownNamesAreReportedAsUnknownOutcome() {
+    AlderyardException newer = exceptionFor("SOMETHING_NEW", "SOMETHING_ELSE");
 
     assertThat(newer.code()).isEqualTo(ErrorCode.INTERNAL);
     assertThat(newer.outcome()).isEqualTo(Outcome.OUTCOME_UNKNOWN);
