--- a/alderyard-cli/src/main/java/org/alderyard/cli/explain/ExplainCommand.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/explain/ExplainCommand.java
@@ -16,26 +16,29 @@
 import org.apache.commons.cli.Options;
 
 /**
- * Tells the story of one request from the logs of several processes.
+ * Prints the log lines of several processes that explain how one request was handled.
  *
  * <pre>alderyard explain --request 5c0e7a21d94b36f8 LOG-FOLDER</pre>
  */
 public final class ExplainCommand implements Command {
-  /** A failover and what led to it fit into this much time before and after a request. */
+  /** Long enough to include a failover and its cause before or after a request. */
   private static final long DEFAULT_MARGIN_MILLIS = 3_000;
 
   private static final CommandSpec SPEC =
       new CommandSpec(
           "explain",
-          "tell the story of one request from the logs in a folder",
+          "print the log lines in a folder that explain one request",
           List.of("FOLDER"),
           new Options()
               .addOption(CommonOptions.valued("request", "ID", "the request's id"))
               .addOption(
                   CommonOptions.valued(
-                      "margin-millis", "N", "how much before and after it is shown; 3000"))
+                      "margin-millis",
+                      "N",
+                      "time shown before and after the request; default 3000"))
               .addOption(
-                  CommonOptions.flag("strict", "end at a line that is not one of this system")));
+                  CommonOptions.flag(
+                      "strict", "fail at a line that is not a log line of alderyardd")));
 
   @Override
   public CommandSpec spec() {
@@ -47,19 +50,19 @@
     String request = invocation.requiredOption("request");
     long margin = invocation.numberOption("margin-millis", DEFAULT_MARGIN_MILLIS, 0, 3_600_000);
     List<LogLine> lines = new ArrayList<>();
-    int unreadable = 0;
+    int skipped = 0;
     for (Path file : files(Path.of(invocation.arguments().get(0)))) {
-      unreadable += read(file, invocation.hasOption("strict"), lines);
+      skipped += read(file, invocation.hasOption("strict"), lines);
     }
-    if (unreadable > 0) {
-      invocation.err().println(unreadable + " lines are not of this system and were passed over");
+    if (skipped > 0) {
+      invocation.err().println(skipped + " lines are not log lines of alderyardd and were skipped");
     }
-    List<LogLine> story = new Story(lines).around(request, margin);
-    if (story.isEmpty()) {
-      invocation.err().println("no line names request " + request);
+    List<LogLine> timeline = new RequestTimeline(lines).linesAround(request, margin);
+    if (timeline.isEmpty()) {
+      invocation.err().println("no log line contains request " + request);
       return ExitCode.FAILED;
     }
-    story.forEach(
+    timeline.forEach(
         line ->
             invocation
                 .out()
@@ -87,17 +90,17 @@
       throw AlderyardException.notRun(
           ErrorCode.BAD_REQUEST, "the file '" + file + "' can't be read: " + unreadable);
     }
-    int unreadable = 0;
+    int skipped = 0;
     for (int i = 0; i < texts.size(); i++) {
       try {
         lines.add(LogLine.parse(source, i + 1, texts.get(i)));
-      } catch (AlderyardException foreign) {
+      } catch (AlderyardException malformed) {
         if (strict) {
-          throw foreign;
+          throw malformed;
         }
-        unreadable++;
+        skipped++;
       }
     }
-    return unreadable;
+    return skipped;
   }
 }
--- a/alderyard-cli/src/main/java/org/alderyard/cli/explain/LogLine.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/explain/LogLine.java
@@ -10,12 +10,12 @@
 import org.alderyard.common.http.Json;
 
 /**
- * One structured line of a process.
+ * A structured log line of a process.
  *
- * @param source the file that it comes from
- * @param timeMillis when it was logged, by the clock of its host
- * @param level its level
- * @param message its event and fields
+ * @param source name of the log file without its extension
+ * @param timeMillis wall-clock time of the logging host, in milliseconds since the epoch
+ * @param level log level
+ * @param message event name and fields
  */
 record LogLine(String source, long timeMillis, String level, String message) {
   private static final String EVENT = "event=";
@@ -27,20 +27,20 @@
   }
 
   /**
-   * Reads one line.
+   * Parses a line of a log file.
    *
-   * @throws AlderyardException when it is not a line of this system
+   * @throws AlderyardException if the line is not a JSON log line of alderyardd
    */
   static LogLine parse(String source, int number, String text) {
     JsonNode node;
     try {
-      // Tools that collect lines put names and times in front of them.
+      // Log collectors prepend names and timestamps to the JSON object.
       node = Json.parseObject(text.substring(Math.max(0, text.indexOf('{'))).getBytes(UTF_8));
     } catch (AlderyardException unreadable) {
-      throw wrong(source, number, unreadable.getMessage());
+      throw malformed(source, number, unreadable.getMessage());
     }
     if (!node.path("timestamp").isIntegralNumber() || !node.path("formattedMessage").isTextual()) {
-      throw wrong(source, number, "timestamp and formattedMessage are missing");
+      throw malformed(source, number, "timestamp and formattedMessage are missing");
     }
     return new LogLine(
         source,
@@ -49,25 +49,25 @@
         node.path("formattedMessage").asText());
   }
 
-  private static AlderyardException wrong(String source, int number, String reason) {
+  private static AlderyardException malformed(String source, int number, String reason) {
     return AlderyardException.notRun(
         ErrorCode.BAD_REQUEST,
-        source + ":" + number + " is no JSON line of alderyardd (" + reason + ")");
+        source + ":" + number + " is not a JSON log line of alderyardd (" + reason + ")");
   }
 
-  /** Returns the name of its event. */
+  /** Returns the event name, or empty if the message has no event. */
   Optional<String> event() {
     return message.startsWith(EVENT) ? Optional.of(field("event").orElse("")) : Optional.empty();
   }
 
-  /** Returns the value of a field. */
+  /** Returns the value of a field without its quotes, or empty if the field is absent. */
   Optional<String> field(String name) {
-    String start = name + "=";
-    int at = message.startsWith(start) ? 0 : message.indexOf(" " + start) + 1;
-    if (at == 0 && !message.startsWith(start)) {
+    String prefix = name + "=";
+    int index = message.startsWith(prefix) ? 0 : message.indexOf(" " + prefix) + 1;
+    if (index == 0 && !message.startsWith(prefix)) {
       return Optional.empty();
     }
-    String rest = message.substring(at + start.length());
+    String rest = message.substring(index + prefix.length());
     boolean quoted = rest.startsWith("\"");
     int end = quoted ? rest.indexOf('"', 1) : rest.indexOf(' ');
     String value = end < 0 ? rest : rest.substring(0, end);
--- a/alderyard-cli/src/main/java/org/alderyard/cli/explain/Story.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/explain/RequestTimeline.java
@@ -6,12 +6,12 @@
 import java.util.Set;
 
 /**
- * The lines that tell of one request: its own, and what changed around it for its group and servers
- * and for the hosts that touched it. Pure.
+ * Selects the log lines of one request, and the state changes of its group, servers and hosts that
+ * were logged around the same time.
  */
-final class Story {
-  /** Events that change what a process believes, and so how it treats requests. */
-  private static final Set<String> BELIEFS =
+final class RequestTimeline {
+  /** Events that change process state on which the handling of requests depends. */
+  private static final Set<String> STATE_CHANGES =
       Set.of(
           "dependency-lost",
           "dependency-regained",
@@ -37,43 +37,43 @@
 
   private final List<LogLine> lines;
 
-  Story(List<LogLine> lines) {
+  RequestTimeline(List<LogLine> lines) {
     this.lines = lines.stream().sorted(Comparator.comparingLong(LogLine::timeMillis)).toList();
   }
 
-  /** Returns the lines of a request itself. */
-  List<LogLine> of(String request) {
+  /** Returns the lines that carry the id of a request. */
+  List<LogLine> linesOf(String request) {
     return lines.stream()
         .filter(line -> line.field("id").filter(request::equals).isPresent())
         .toList();
   }
 
-  /** Returns the lines of a request, and the changes of belief within the given time of them. */
-  List<LogLine> around(String request, long marginMillis) {
-    List<LogLine> own = of(request);
-    if (own.isEmpty()) {
-      return own;
+  /** Returns the lines of a request, and related state changes within a margin of the request. */
+  List<LogLine> linesAround(String request, long marginMillis) {
+    List<LogLine> requestLines = linesOf(request);
+    if (requestLines.isEmpty()) {
+      return requestLines;
     }
-    long from = own.get(0).timeMillis() - marginMillis;
-    long to = own.get(own.size() - 1).timeMillis() + marginMillis;
+    long from = requestLines.get(0).timeMillis() - marginMillis;
+    long to = requestLines.get(requestLines.size() - 1).timeMillis() + marginMillis;
     Set<String> names = new HashSet<>();
-    for (LogLine line : own) {
+    for (LogLine line : requestLines) {
       names.add(line.source());
       line.field("group").ifPresent(names::add);
       line.field("server").ifPresent(names::add);
     }
     return lines.stream()
         .filter(line -> line.timeMillis() >= from && line.timeMillis() <= to)
-        .filter(line -> own.contains(line) || changesBeliefAbout(line, names))
+        .filter(line -> requestLines.contains(line) || isStateChangeOf(line, names))
         .toList();
   }
 
-  private static boolean changesBeliefAbout(LogLine line, Set<String> names) {
-    boolean belief = line.event().filter(BELIEFS::contains).isPresent();
-    boolean concerns =
+  private static boolean isStateChangeOf(LogLine line, Set<String> names) {
+    boolean stateChange = line.event().filter(STATE_CHANGES::contains).isPresent();
+    boolean matchesName =
         names.contains(line.source())
             || line.field("group").filter(names::contains).isPresent()
             || line.field("server").filter(names::contains).isPresent();
-    return belief && concerns;
+    return stateChange && matchesName;
   }
 }
--- a/alderyard-cli/src/main/java/org/alderyard/cli/explain/package-info.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/explain/package-info.java
@@ -1,2 +1,2 @@
-/** Joins the log lines of several processes into the story of one request. */
+/** Merges the log lines of several processes into the timeline of one request. */
 package org.alderyard.cli.explain;
