--- a/alderyard-cli/src/main/java/org/alderyard/cli/load/CallerClient.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/load/CallerClient.java
@@ -14,9 +14,9 @@
 import org.alderyard.common.error.AlderyardException;
 import org.alderyard.common.http.Json;
 
-/** Sends statements to proxies as a caller does. */
+/** Asynchronous HTTP client that sends the statements of simulated callers to proxies. */
 final class CallerClient {
-  private static final Duration MARGIN = Duration.ofSeconds(1);
+  private static final Duration RESPONSE_MARGIN = Duration.ofSeconds(1);
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
 
   private final HttpClient http =
@@ -45,28 +45,28 @@
                 + "/statements");
     HttpRequest.Builder request =
         HttpRequest.newBuilder(uri)
-            .timeout(deadline.plus(MARGIN))
+            .timeout(deadline.plus(RESPONSE_MARGIN))
             .header("Content-Type", "application/json")
             .header("Alderyard-Caller", caller)
             .POST(HttpRequest.BodyPublishers.ofByteArray(Json.bytes(statement)));
     token.ifPresent(value -> request.header("Alderyard-Session", value));
     return http.sendAsync(request.build(), HttpResponse.BodyHandlers.ofByteArray())
-        .handle(CallerClient::reply);
+        .handle(CallerClient::toReply);
   }
 
-  private static CallerReply reply(HttpResponse<byte[]> response, Throwable failure) {
+  private static CallerReply toReply(HttpResponse<byte[]> response, Throwable failure) {
     if (failure != null) {
       Throwable cause = Futures.unwrap(failure);
-      boolean refused = cause instanceof ConnectException;
-      return refused
+      boolean connectionRefused = cause instanceof ConnectException;
+      return connectionRefused
           ? CallerReply.notSent("CONNECTION_REFUSED")
-          : CallerReply.noAnswer("NO_ANSWER");
+          : CallerReply.noResponse("NO_ANSWER");
     }
     try {
       return CallerReply.of(
           Json.parseObject(response.body()), response.headers().firstValue("Alderyard-Session"));
     } catch (AlderyardException unreadable) {
-      return CallerReply.noAnswer("UNREADABLE");
+      return CallerReply.noResponse("UNREADABLE");
     }
   }
 }
--- a/alderyard-cli/src/main/java/org/alderyard/cli/load/CallerReply.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/load/CallerReply.java
@@ -7,14 +7,14 @@
 import org.alderyard.testkit.history.Operation.Result;
 
 /**
- * What a proxy answered, or that it did not.
+ * The response of a proxy to a request, or the reason why there is none.
  *
- * @param result what is known of the request
- * @param body the answer's body; empty when there was none
- * @param token the session token of the answer
+ * @param result known result of the request
+ * @param body body of the response; empty if there is no response
+ * @param token session token of the response, if the response has one
  * @param retryable whether the same request may be sent again
- * @param retryAfterMillis when the proxy asks to come back
- * @param code the error code, empty for an answer without error
+ * @param retryAfterMillis retry delay that the proxy requests; 0 if none
+ * @param code error code; empty for a successful response
  */
 record CallerReply(
     Result result,
@@ -24,11 +24,11 @@
     long retryAfterMillis,
     String code) {
 
-  static CallerReply noAnswer(String code) {
+  static CallerReply noResponse(String code) {
     return new CallerReply(Result.UNKNOWN, Optional.empty(), Optional.empty(), true, 0, code);
   }
 
-  /** The proxy never got the request: it was refused before a connection stood. */
+  /** Returns a reply for a request that was never sent because the connection was refused. */
   static CallerReply notSent(String code) {
     return new CallerReply(Result.NOT_RUN, Optional.empty(), Optional.empty(), true, 0, code);
   }
@@ -53,7 +53,7 @@
         error.path("code").asText());
   }
 
-  boolean fromReplica() {
+  boolean servedByReplica() {
     return servedBy("role").equals("replica");
   }
 
@@ -65,7 +65,7 @@
     return body.map(node -> node.path("servedBy").path(field).asText()).orElse("");
   }
 
-  List<String> list() {
+  List<String> values() {
     List<String> values = new ArrayList<>();
     body.ifPresent(node -> node.path("result").forEach(value -> values.add(value.asText())));
     return values;
--- a/alderyard-cli/src/main/java/org/alderyard/cli/load/CallerSession.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/load/CallerSession.java
@@ -17,7 +17,7 @@
 import org.alderyard.testkit.history.Operation.Kind;
 import org.alderyard.testkit.history.Operation.Result;
 
-/** One simulated caller: its token, and one request at a time over all proxies in turn. */
+/** A simulated caller with a session token; sends one request at a time, to each proxy in turn. */
 final class CallerSession {
   private static final long BROWSE_STALENESS_MILLIS = 5_000;
   private static final long MIN_RETRY_MILLIS = 20;
@@ -25,19 +25,19 @@
   private final String name;
   private final LoadPlan plan;
   private final CallerClient client;
-  private final Recorder recorder;
+  private final LoadRecorder recorder;
   private final WorkerPool workers;
   private final MonotonicClock clock;
   private final InstantSource wallClock;
   private final AtomicLong nextProxy;
   private Optional<String> token = Optional.empty();
-  private int requests;
+  private int appendCount;
 
   CallerSession(
       String name,
       LoadPlan plan,
       CallerClient client,
-      Recorder recorder,
+      LoadRecorder recorder,
       WorkerPool workers,
       MonotonicClock clock,
       InstantSource wallClock,
@@ -52,7 +52,12 @@
     this.nextProxy = nextProxy;
   }
 
-  /** Runs one action; the latency counts from its arrival, also if the request left later. */
+  /**
+   * Runs an action.
+   *
+   * @param arrivalNanos scheduled arrival from which latency is measured, even if the request is
+   *     sent later
+   */
   CompletableFuture<Void> run(Mix.Action action, String key, long arrivalNanos) {
     return switch (action) {
       case BROWSE -> read(key, true, arrivalNanos);
@@ -70,13 +75,14 @@
           .put("mode", "bounded")
           .put("maxStalenessMillis", BROWSE_STALENESS_MILLIS);
     }
-    OptionalLong bound = browse ? OptionalLong.of(BROWSE_STALENESS_MILLIS) : OptionalLong.empty();
+    OptionalLong maxStaleness =
+        browse ? OptionalLong.of(BROWSE_STALENESS_MILLIS) : OptionalLong.empty();
     long startNanos = clock.nowNanos();
     return attempt(statement, deadlineNanos())
         .thenAccept(
             reply -> {
               long endNanos = clock.nowNanos();
-              recorder.operation(
+              recorder.recordOperation(
                   new Operation(
                       name,
                       key,
@@ -85,16 +91,17 @@
                       reply.result(),
                       startNanos,
                       endNanos,
-                      reply.list(),
-                      bound));
+                      reply.values(),
+                      maxStaleness));
               if (reply.result() == Result.OK) {
-                recorder.read(browse, reply.fromReplica(), micros(endNanos - arrivalNanos));
+                recorder.recordRead(
+                    browse, reply.servedByReplica(), micros(endNanos - arrivalNanos));
               }
             });
   }
 
   private CompletableFuture<Void> append(String key, long arrivalNanos) {
-    String value = name + "-" + requests++;
+    String value = name + "-" + appendCount++;
     ObjectNode statement = statement(key, "write", "append");
     statement.putArray("parameters").add(value);
     statement.put("requestId", value);
@@ -104,7 +111,7 @@
         .thenAccept(
             reply -> {
               long endNanos = clock.nowNanos();
-              recorder.operation(
+              recorder.recordOperation(
                   new Operation(
                       name,
                       key,
@@ -116,16 +123,16 @@
                       List.of(),
                       OptionalLong.empty()));
               if (reply.result() == Result.OK) {
-                recorder.write(reply.group(), endNanos, micros(endNanos - arrivalNanos));
+                recorder.recordWrite(reply.group(), endNanos, micros(endNanos - arrivalNanos));
               }
             });
   }
 
-  private ObjectNode statement(String key, String kind, String text) {
+  private ObjectNode statement(String key, String kind, String operation) {
     return Json.object()
         .put("key", key)
         .put("kind", kind)
-        .put("statement", text)
+        .put("statement", operation)
         .put("deadlineMillis", plan.deadline().toMillis());
   }
 
@@ -133,13 +140,13 @@
     return clock.nowNanos() + plan.deadline().toNanos();
   }
 
-  /** Sends the same request again, through the next proxy, until it is settled or time is up. */
+  /** Resends a request through the next proxy until its result is final or its deadline ends. */
   private CompletableFuture<CallerReply> attempt(ObjectNode statement, long deadlineNanos) {
     return attempt(statement, deadlineNanos, false);
   }
 
   private CompletableFuture<CallerReply> attempt(
-      ObjectNode statement, long deadlineNanos, boolean doubtBefore) {
+      ObjectNode statement, long deadlineNanos, boolean mayHaveRunBefore) {
     int index = (int) (nextProxy.getAndIncrement() % plan.proxies().size());
     InetSocketAddress proxy = plan.proxies().get(index);
     return client
@@ -150,25 +157,25 @@
               if (reply.result() == Result.OK) {
                 return CompletableFuture.completedFuture(reply);
               }
-              recorder.error(reply.code());
-              boolean doubt = doubtBefore || reply.result() == Result.UNKNOWN;
-              long pauseMillis = Math.max(MIN_RETRY_MILLIS, reply.retryAfterMillis());
-              boolean timeLeft =
-                  clock.nowNanos() + TimeUnit.MILLISECONDS.toNanos(pauseMillis) < deadlineNanos;
-              if (!reply.retryable() || !timeLeft) {
-                return CompletableFuture.completedFuture(doubt ? inDoubt(reply) : reply);
+              recorder.countError(reply.code());
+              boolean mayHaveRun = mayHaveRunBefore || reply.result() == Result.UNKNOWN;
+              long delayMillis = Math.max(MIN_RETRY_MILLIS, reply.retryAfterMillis());
+              boolean beforeDeadline =
+                  clock.nowNanos() + TimeUnit.MILLISECONDS.toNanos(delayMillis) < deadlineNanos;
+              if (!reply.retryable() || !beforeDeadline) {
+                return CompletableFuture.completedFuture(mayHaveRun ? unknownResult(reply) : reply);
               }
-              return later(pauseMillis)
-                  .thenCompose(done -> attempt(statement, deadlineNanos, doubt));
+              return delay(delayMillis)
+                  .thenCompose(done -> attempt(statement, deadlineNanos, mayHaveRun));
             });
   }
 
-  /** A refusal of the last attempt says nothing of an earlier attempt that may have run. */
-  private static CallerReply inDoubt(CallerReply last) {
-    return CallerReply.noAnswer(last.code());
+  /** Returns an unknown result: an earlier attempt may have run although the last was refused. */
+  private static CallerReply unknownResult(CallerReply last) {
+    return CallerReply.noResponse(last.code());
   }
 
-  private CompletableFuture<Void> later(long millis) {
+  private CompletableFuture<Void> delay(long millis) {
     CompletableFuture<Void> done = new CompletableFuture<>();
     workers.schedule(Duration.ofMillis(millis), () -> done.complete(null));
     return done;
--- a/alderyard-cli/src/main/java/org/alderyard/cli/load/LoadCommand.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/load/LoadCommand.java
@@ -22,24 +22,25 @@
 import org.apache.commons.cli.Options;
 
 /**
- * Puts load on a running system and checks what it answered.
+ * Generates load on a running system and checks the history of responses.
  *
  * <p>Example: {@code alderyard load --proxies 127.0.0.1:7000,127.0.0.1:7010 --pool orders --mix
  * le-goff --rate 500 --seconds 10}
  */
 public final class LoadCommand implements Command {
   private static final CommandSpec SPEC =
-      new CommandSpec("load", "put load on proxies and check the answers", List.of(), options());
+      new CommandSpec(
+          "load", "generate load on proxies and check the responses", List.of(), options());
 
   private static Options options() {
     return new Options()
         .addOption(valued("proxies", "IP:PORT,...", "callers' ports of the proxies"))
-        .addOption(valued("pool", "NAME", "pool to address"))
+        .addOption(valued("pool", "NAME", "name of the pool"))
         .addOption(valued("mix", "MIX", "workload: brazos or le-goff; default brazos"))
-        .addOption(valued("rate", "N", "actions a second, 1 to 100000; default 200"))
-        .addOption(valued("seconds", "N", "how long actions arrive, 1 to 86400; default 10"))
+        .addOption(valued("rate", "N", "actions per second, 1 to 100000; default 200"))
+        .addOption(valued("seconds", "N", "duration of the load, 1 to 86400; default 10"))
         .addOption(valued("keys", "N", "number of keys, 1 to 1000000; default 500"))
-        .addOption(valued("seed", "N", "start of all random choices; default 1"))
+        .addOption(valued("seed", "N", "seed of the random number generators; default 1"))
         .addOption(valued("deadline-millis", "N", "time limit of a request; default 5000"))
         .addOption(valued("report", "FILE", "write the report as JSON to this file"))
         .addOption(valued("trace", "FILE", "write each latency in microseconds to this file"))
--- a/alderyard-cli/src/main/java/org/alderyard/cli/load/LoadPlan.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/load/LoadPlan.java
@@ -6,16 +6,17 @@
 import java.util.Objects;
 
 /**
- * What a load run does.
+ * The parameters of a load run.
  *
- * @param proxies the callers' ports to spread requests over
- * @param pool the pool to address
- * @param mix which workload
- * @param ratePerSecond actions that arrive each second, whether or not earlier ones have ended
- * @param duration how long actions arrive
- * @param keys how many keys are used
- * @param seed the start of all random choices
- * @param deadline how long one request may take
+ * @param proxies callers' ports of the proxies that receive requests in turn
+ * @param pool name of the pool
+ * @param mix proportions of the workload
+ * @param ratePerSecond mean number of actions that arrive per second, whether or not earlier
+ *     actions have completed
+ * @param duration time during which actions arrive
+ * @param keys number of distinct keys
+ * @param seed seed of the random number generator
+ * @param deadline time limit of a request, including its retries
  */
 public record LoadPlan(
     List<InetSocketAddress> proxies,
@@ -27,7 +28,7 @@
     long seed,
     Duration deadline) {
 
-  /** Checks and copies. */
+  /** Rejects null components and copies the proxies. */
   public LoadPlan {
     Objects.requireNonNull(pool);
     Objects.requireNonNull(mix);
--- a/alderyard-cli/src/main/java/org/alderyard/cli/load/Recorder.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/load/LoadRecorder.java
@@ -10,44 +10,46 @@
 import org.HdrHistogram.Histogram;
 import org.alderyard.testkit.history.Operation;
 
-/** Collects what a load run sees, from many threads. */
-final class Recorder {
-  private static final long HIGHEST_MICROS = 120_000_000;
-  private static final int DIGITS = 3;
+/** Collects the results and latencies of a load run; thread-safe. */
+final class LoadRecorder {
+  private static final long MAX_RECORDED_MICROS = 120_000_000;
+  private static final int SIGNIFICANT_DIGITS = 3;
 
   private final ConcurrentLinkedQueue<Operation> operations = new ConcurrentLinkedQueue<>();
   private final Map<String, LongAdder> errors = new ConcurrentSkipListMap<>();
   private final Map<String, ConcurrentLinkedQueue<Long>> ackNanosByGroup =
       new ConcurrentSkipListMap<>();
-  private final Histogram readMicros = new ConcurrentHistogram(HIGHEST_MICROS, DIGITS);
-  private final Histogram writeMicros = new ConcurrentHistogram(HIGHEST_MICROS, DIGITS);
+  private final Histogram readMicros =
+      new ConcurrentHistogram(MAX_RECORDED_MICROS, SIGNIFICANT_DIGITS);
+  private final Histogram writeMicros =
+      new ConcurrentHistogram(MAX_RECORDED_MICROS, SIGNIFICANT_DIGITS);
   private final LongAdder browseReads = new LongAdder();
   private final LongAdder browseReplicaReads = new LongAdder();
   private final LongAdder sessionReads = new LongAdder();
   private final LongAdder sessionReplicaReads = new LongAdder();
 
-  void operation(Operation operation) {
+  void recordOperation(Operation operation) {
     operations.add(operation);
   }
 
-  void error(String code) {
+  void countError(String code) {
     errors.computeIfAbsent(code, key -> new LongAdder()).increment();
   }
 
-  void read(boolean browse, boolean replica, long micros) {
+  void recordRead(boolean browse, boolean replica, long micros) {
     (browse ? browseReads : sessionReads).increment();
     if (replica) {
       (browse ? browseReplicaReads : sessionReplicaReads).increment();
     }
-    readMicros.recordValue(Math.min(HIGHEST_MICROS, micros));
+    readMicros.recordValue(Math.min(MAX_RECORDED_MICROS, micros));
   }
 
-  void write(String group, long ackNanos, long micros) {
+  void recordWrite(String group, long ackNanos, long micros) {
     ackNanosByGroup.computeIfAbsent(group, key -> new ConcurrentLinkedQueue<>()).add(ackNanos);
-    writeMicros.recordValue(Math.min(HIGHEST_MICROS, micros));
+    writeMicros.recordValue(Math.min(MAX_RECORDED_MICROS, micros));
   }
 
-  long statements() {
+  long statementCount() {
     return operations.size();
   }
 
@@ -85,7 +87,7 @@
     return whole.sum() == 0 ? 0 : (double) part.sum() / whole.sum();
   }
 
-  /** Returns the longest time between two acknowledged writes of one group, for each group. */
+  /** Returns the longest time between two consecutive acknowledged writes, by group. */
   Map<String, Long> longestWriteGapMillis() {
     Map<String, Long> gaps = new ConcurrentSkipListMap<>();
     ackNanosByGroup.forEach((group, acks) -> gaps.put(group, longestGap(new ArrayList<>(acks))));
--- a/alderyard-cli/src/main/java/org/alderyard/cli/load/LoadReport.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/load/LoadReport.java
@@ -12,19 +12,19 @@
 import org.alderyard.testkit.history.Violation;
 
 /**
- * What a load run saw.
+ * The results of a load run.
  *
- * @param seconds how long it ran
- * @param operations every request and its end
- * @param replicaShare share of reads that replicas served, from 0 to 1
- * @param browseReplicaShare the same for reads that accept a stated age
- * @param sessionReplicaShare the same for reads that must show the session's changes
+ * @param seconds duration of the run
+ * @param operations all requests and their results
+ * @param replicaShare fraction of reads that replicas served, 0 to 1
+ * @param browseReplicaShare fraction for reads that accept bounded staleness
+ * @param sessionReplicaShare fraction for reads that require the session's own writes
  * @param readMicros latencies of successful reads, from arrival
  * @param writeMicros latencies of acknowledged writes, from arrival
- * @param longestWriteGapMillis longest time between two acknowledged writes, by group
- * @param errors answers that were errors, by code, those that a retry settled among them
- * @param violations broken promises
- * @param unreadKeys keys whose final list could not be read, so that they are unchecked
+ * @param longestWriteGapMillis longest time between consecutive acknowledged writes, by group
+ * @param errors error count by code, including errors resolved by a retry
+ * @param violations promise violations in the history
+ * @param unreadKeys number of keys left unchecked because the final list could not be read
  */
 public record LoadReport(
     double seconds,
@@ -38,14 +38,14 @@
     Map<String, Long> errors,
     List<Violation> violations,
     int unreadKeys) {
-  private static final int MAX_SHOWN = 20;
+  private static final int MAX_PRINTED_VIOLATIONS = 20;
 
-  /** Returns whether the run shows no broken promise and left nothing unchecked. */
+  /** Returns whether the run has no violations and no unchecked keys. */
   public boolean clean() {
     return violations.isEmpty() && unreadKeys == 0;
   }
 
-  /** Returns the latency of each successful request in microseconds, one a line. */
+  /** Returns the latency of each successful request in microseconds, one per line. */
   public String trace() {
     return operations.stream()
         .filter(operation -> operation.result() == Result.OK)
@@ -102,8 +102,8 @@
   /** Returns the report as text. */
   public String toText() {
     StringBuilder text = new StringBuilder();
-    line(text, "statements", "%d in %.1f s", operations.size(), seconds);
-    line(
+    appendLine(text, "statements", "%d in %.1f s", operations.size(), seconds);
+    appendLine(
         text,
         "writes",
         "%d acknowledged, %d not run, %d failed, %d unknown",
@@ -111,34 +111,34 @@
         count(Kind.APPEND, Result.NOT_RUN),
         count(Kind.APPEND, Result.FAILED),
         count(Kind.APPEND, Result.UNKNOWN));
-    line(
+    appendLine(
         text,
         "reads",
-        "%d answered, %d not",
+        "%d succeeded, %d did not",
         count(Kind.READ, Result.OK),
         operations.stream().filter(o -> o.kind() == Kind.READ).count()
             - count(Kind.READ, Result.OK));
-    line(
+    appendLine(
         text,
         "reads by replicas",
         "%.1f %% (browsing %.1f %%, sessions %.1f %%)",
         100 * replicaShare,
         100 * browseReplicaShare,
         100 * sessionReplicaShare);
-    latency(text, "read latency", readMicros);
-    latency(text, "write latency", writeMicros);
+    appendLatency(text, "read latency", readMicros);
+    appendLatency(text, "write latency", writeMicros);
     longestWriteGapMillis.forEach(
-        (group, millis) -> line(text, "longest write gap", "%s %d ms", group, millis));
-    errors.forEach((code, count) -> line(text, "error answers", "%s %d", code, count));
+        (group, millis) -> appendLine(text, "longest write gap", "%s %d ms", group, millis));
+    errors.forEach((code, count) -> appendLine(text, "error responses", "%s %d", code, count));
     if (unreadKeys > 0) {
-      line(text, "UNCHECKED", "%d keys could not be read at the end", unreadKeys);
+      appendLine(text, "UNCHECKED", "%d keys could not be read at the end", unreadKeys);
     }
-    line(text, "violations", "%d", violations.size());
+    appendLine(text, "violations", "%d", violations.size());
     violations.stream()
-        .limit(MAX_SHOWN)
+        .limit(MAX_PRINTED_VIOLATIONS)
         .forEach(
             violation ->
-                line(
+                appendLine(
                     text,
                     "  " + violation.promise(),
                     "key %s, %s",
@@ -147,8 +147,8 @@
     return text.toString();
   }
 
-  private static void latency(StringBuilder text, String name, Histogram histogram) {
-    line(
+  private static void appendLatency(StringBuilder text, String name, Histogram histogram) {
+    appendLine(
         text,
         name,
         "p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms, max %.2f ms",
@@ -162,7 +162,7 @@
     return micros / 1000.0;
   }
 
-  private static void line(StringBuilder text, String name, String format, Object... values) {
+  private static void appendLine(StringBuilder text, String name, String format, Object... values) {
     text.append(String.format("%-20s ", name))
         .append(String.format(format, values))
         .append(System.lineSeparator());
--- a/alderyard-cli/src/main/java/org/alderyard/cli/load/LoadRun.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/load/LoadRun.java
@@ -27,27 +27,27 @@
 import org.alderyard.testkit.history.Operation.Result;
 import org.alderyard.testkit.history.Violation;
 
-/** Runs a plan: actions arrive at random times of a fixed mean rate, whatever the answers do. */
+/** Generates open-loop load: actions arrive at a fixed mean rate, regardless of responses. */
 public final class LoadRun {
   private static final int WORKER_THREADS = 4;
   private static final int MAX_IN_FLIGHT = 20_000;
-  private static final long PROGRESS_NANOS = TimeUnit.SECONDS.toNanos(2);
-  private static final long FINAL_READS_NANOS = TimeUnit.SECONDS.toNanos(30);
-  private static final long FINAL_READ_PAUSE_MILLIS = 100;
+  private static final long PROGRESS_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(2);
+  private static final long FINAL_READ_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
+  private static final long FINAL_READ_RETRY_MILLIS = 100;
 
   private final LoadPlan plan;
   private final MonotonicClock clock;
   private final Consumer<String> progress;
   private final SplittableRandom random;
-  private final Recorder recorder = new Recorder();
+  private final LoadRecorder recorder = new LoadRecorder();
   private final CallerClient client;
   private final AtomicLong nextProxy = new AtomicLong();
   private final AtomicInteger inFlight = new AtomicInteger();
-  private final Deque<CallerSession> idle = new ArrayDeque<>();
+  private final Deque<CallerSession> idleSessions = new ArrayDeque<>();
   private final Set<String> usedKeys = ConcurrentHashMap.newKeySet();
-  private int sessions;
+  private int sessionCount;
 
-  /** Prepares a run; {@code progress} gets a line now and then. */
+  /** Creates a run that reports its progress as a line of text every 2 seconds. */
   public LoadRun(LoadPlan plan, MonotonicClock clock, Consumer<String> progress) {
     this.plan = plan;
     this.clock = clock;
@@ -56,51 +56,51 @@
     client = new CallerClient(plan.pool(), plan.deadline());
   }
 
-  /** Runs the plan and checks what it saw. */
+  /** Runs the plan, checks the recorded history, and returns the results. */
   public LoadReport run() {
     long startNanos = clock.nowNanos();
     try (WorkerPool workers = new WorkerPool("load", WORKER_THREADS)) {
-      arrivals(workers, startNanos);
-      awaitEnd(startNanos);
+      generateArrivals(workers, startNanos);
+      awaitCompletion(startNanos);
     }
     double seconds = (clock.nowNanos() - startNanos) / 1e9;
     Map<String, List<String>> finalLists = new HashMap<>();
-    int unread = readFinalLists(finalLists);
+    int unreadKeys = readFinalLists(finalLists);
     List<Operation> checked =
         recorder.operations().stream().filter(o -> finalLists.containsKey(o.key())).toList();
-    return report(seconds, HistoryChecker.check(checked, finalLists), unread);
+    return report(seconds, HistoryChecker.check(checked, finalLists), unreadKeys);
   }
 
-  private void arrivals(WorkerPool workers, long startNanos) {
+  private void generateArrivals(WorkerPool workers, long startNanos) {
     long endNanos = startNanos + plan.duration().toNanos();
     double meanNanos = 1e9 / plan.ratePerSecond();
-    double arrival = startNanos;
-    long nextProgress = startNanos + PROGRESS_NANOS;
-    while (arrival < endNanos) {
-      arrival += -meanNanos * Math.log(1 - random.nextDouble());
-      waitUntil((long) arrival);
+    double nextArrival = startNanos;
+    long nextProgress = startNanos + PROGRESS_INTERVAL_NANOS;
+    while (nextArrival < endNanos) {
+      nextArrival += -meanNanos * Math.log(1 - random.nextDouble());
+      waitUntil((long) nextArrival);
       if (inFlight.get() < MAX_IN_FLIGHT) {
-        start(workers, (long) arrival);
+        start(workers, (long) nextArrival);
       } else {
-        recorder.error("LOAD_TOOL_FULL");
+        recorder.countError("LOAD_TOOL_FULL");
       }
       if (clock.nowNanos() > nextProgress) {
         progress.accept(progressLine(startNanos));
-        nextProgress += PROGRESS_NANOS;
+        nextProgress += PROGRESS_INTERVAL_NANOS;
       }
     }
   }
 
   private void waitUntil(long nanos) {
-    long left = nanos - clock.nowNanos();
-    while (left > 0) {
-      LockSupport.parkNanos(left);
-      left = nanos - clock.nowNanos();
+    long remaining = nanos - clock.nowNanos();
+    while (remaining > 0) {
+      LockSupport.parkNanos(remaining);
+      remaining = nanos - clock.nowNanos();
     }
   }
 
   private void start(WorkerPool workers, long arrivalNanos) {
-    CallerSession session = takeSession(workers);
+    CallerSession session = acquireSession(workers);
     Mix.Action action = plan.mix().next(random);
     String key = "key-" + plan.seed() + "-" + random.nextInt(plan.keys());
     usedKeys.add(key);
@@ -110,29 +110,29 @@
         .whenComplete(
             (done, failure) -> {
               if (failure != null) {
-                recorder.error("LOAD_TOOL_FAILED");
+                recorder.countError("LOAD_TOOL_FAILED");
               }
-              synchronized (idle) {
-                idle.addLast(session);
+              synchronized (idleSessions) {
+                idleSessions.addLast(session);
               }
               inFlight.decrementAndGet();
             });
   }
 
-  private CallerSession takeSession(WorkerPool workers) {
-    synchronized (idle) {
-      if (!idle.isEmpty()) {
-        return idle.removeFirst();
+  private CallerSession acquireSession(WorkerPool workers) {
+    synchronized (idleSessions) {
+      if (!idleSessions.isEmpty()) {
+        return idleSessions.removeFirst();
       }
     }
-    String name = "caller-" + plan.seed() + "-" + sessions++;
+    String name = "caller-" + plan.seed() + "-" + sessionCount++;
     return new CallerSession(
         name, plan, client, recorder, workers, clock, InstantSource.system(), nextProxy);
   }
 
-  private void awaitEnd(long startNanos) {
-    long giveUpNanos = clock.nowNanos() + plan.deadline().multipliedBy(4).toNanos();
-    while (inFlight.get() > 0 && clock.nowNanos() < giveUpNanos) {
+  private void awaitCompletion(long startNanos) {
+    long timeoutNanos = clock.nowNanos() + plan.deadline().multipliedBy(4).toNanos();
+    while (inFlight.get() > 0 && clock.nowNanos() < timeoutNanos) {
       LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(10));
     }
     progress.accept(progressLine(startNanos));
@@ -142,26 +142,26 @@
     return String.format(
         "%5.1f s  %d statements, %d in flight, %d sessions, replica reads %.1f %%",
         (clock.nowNanos() - startNanos) / 1e9,
-        recorder.statements(),
+        recorder.statementCount(),
         inFlight.get(),
-        sessions,
+        sessionCount,
         100 * recorder.replicaShare());
   }
 
   private int readFinalLists(Map<String, List<String>> finalLists) {
-    int unread = 0;
-    long giveUpNanos = clock.nowNanos() + FINAL_READS_NANOS;
+    int unreadKeys = 0;
+    long timeoutNanos = clock.nowNanos() + FINAL_READ_TIMEOUT_NANOS;
     for (String key : new java.util.TreeSet<>(usedKeys)) {
-      Optional<List<String>> list = readFinal(key, giveUpNanos);
+      Optional<List<String>> list = readFinal(key, timeoutNanos);
       list.ifPresent(values -> finalLists.put(key, values));
       if (list.isEmpty()) {
-        unread++;
+        unreadKeys++;
       }
     }
-    return unread;
+    return unreadKeys;
   }
 
-  private Optional<List<String>> readFinal(String key, long giveUpNanos) {
+  private Optional<List<String>> readFinal(String key, long timeoutNanos) {
     ObjectNode statement =
         Json.object()
             .put("key", key)
@@ -171,18 +171,18 @@
     statement.putObject("freshness").put("mode", "primary");
     do {
       int index = (int) (nextProxy.getAndIncrement() % plan.proxies().size());
-      CompletableFuture<CallerReply> sent =
+      CompletableFuture<CallerReply> response =
           client.send(plan.proxies().get(index), "load-check", Optional.empty(), statement);
-      CallerReply reply = sent.join();
+      CallerReply reply = response.join();
       if (reply.result() == Result.OK) {
-        return Optional.of(reply.list());
+        return Optional.of(reply.values());
       }
-      LockSupport.parkNanos(Duration.ofMillis(FINAL_READ_PAUSE_MILLIS).toNanos());
-    } while (clock.nowNanos() < giveUpNanos);
+      LockSupport.parkNanos(Duration.ofMillis(FINAL_READ_RETRY_MILLIS).toNanos());
+    } while (clock.nowNanos() < timeoutNanos);
     return Optional.empty();
   }
 
-  private LoadReport report(double seconds, List<Violation> violations, int unread) {
+  private LoadReport report(double seconds, List<Violation> violations, int unreadKeys) {
     Map<String, Long> errors = new TreeMap<>();
     recorder.errors().forEach((code, count) -> errors.put(code, count.sum()));
     return new LoadReport(
@@ -196,6 +196,6 @@
         recorder.longestWriteGapMillis(),
         errors,
         violations,
-        unread);
+        unreadKeys);
   }
 }
--- a/alderyard-cli/src/main/java/org/alderyard/cli/load/Mix.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/load/Mix.java
@@ -2,11 +2,11 @@
 
 import java.util.random.RandomGenerator;
 
-/** The shares of actions in a workload. */
+/** The proportions of actions in a workload. */
 public enum Mix {
-  /** Seminar listings: nearly all browsing, a few changes that are read back at once. */
+  /** Seminar listings: mostly browsing, with a few changes that are immediately read back. */
   BRAZOS(95, 2, 3),
-  /** Orders: every second action is a write that must run once. */
+  /** Orders: half of the actions are writes that must run exactly once. */
   LE_GOFF(20, 30, 50);
 
   private static final int PERCENT = 100;
@@ -16,27 +16,27 @@
 
   Mix(int browsePercent, int sessionReadPercent, int writePercent) {
     if (browsePercent + sessionReadPercent + writePercent != PERCENT) {
-      throw new IllegalArgumentException("shares must add up to 100");
+      throw new IllegalArgumentException("percentages of a workload must add up to 100");
     }
     this.browsePercent = browsePercent;
     this.sessionReadPercent = sessionReadPercent;
   }
 
   Action next(RandomGenerator random) {
-    int draw = random.nextInt(PERCENT);
-    if (draw < browsePercent) {
+    int randomPercent = random.nextInt(PERCENT);
+    if (randomPercent < browsePercent) {
       return Action.BROWSE;
     }
-    return draw < browsePercent + sessionReadPercent ? Action.SESSION_READ : Action.CHANGE;
+    return randomPercent < browsePercent + sessionReadPercent ? Action.SESSION_READ : Action.CHANGE;
   }
 
-  /** What one arrival does. */
+  /** The kind of an action. */
   enum Action {
-    /** A read that accepts data of a stated age. */
+    /** A read that accepts bounded staleness. */
     BROWSE,
-    /** A read that must show the session's own changes. */
+    /** A read that requires the session's own writes. */
     SESSION_READ,
-    /** A write, and the session's read of it through another proxy right after. */
+    /** A write that the session immediately reads back through another proxy. */
     CHANGE
   }
 }
--- a/alderyard-cli/src/main/java/org/alderyard/cli/load/package-info.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/load/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The load tool: open-loop arrivals of both users' workloads, with a checked history.
+ * The load generator: open-loop workloads of both organisations, with a checked history.
  *
- * <p>{@link org.alderyard.cli.load.LoadPlan} is what was asked for, {@link
- * org.alderyard.cli.load.LoadRun} runs it, {@link org.alderyard.cli.load.LoadReport} is the result
- * apart from its rendering.
+ * <p>{@link org.alderyard.cli.load.LoadPlan} holds the parameters, {@link
+ * org.alderyard.cli.load.LoadRun} generates the load, and {@link org.alderyard.cli.load.LoadReport}
+ * holds and formats the results.
  */
 package org.alderyard.cli.load;
