--- a/alderyard-cli/src/main/java/org/alderyard/cli/local/LocalHosts.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/local/LocalHosts.java
@@ -13,7 +13,7 @@
 import org.alderyard.daemon.DaemonMain;
 import org.alderyard.testkit.net.FreePorts;
 
-/** The hosts of a local system: their settings and processes. */
+/** Settings and processes of the hosts of a local system. */
 final class LocalHosts {
   static final List<String> ZONES = List.of("zone-a", "zone-b", "zone-c");
   private static final String MAX_HEAP = "128m";
@@ -24,8 +24,8 @@
   private final List<InetSocketAddress> callerPorts = new ArrayList<>();
   private final List<InetSocketAddress> innerPorts = new ArrayList<>();
   private final List<InetSocketAddress> operatorPorts = new ArrayList<>();
-  // Where other hosts reach each one: its inner port, or the link before it.
-  private final List<InetSocketAddress> reached = new ArrayList<>();
+  // Address at which other hosts connect to each host: the inner port, or the link in front of it.
+  private final List<InetSocketAddress> advertisedInnerAddresses = new ArrayList<>();
   private final List<LoopbackLink> links = new ArrayList<>();
 
   LocalHosts(SystemPlan plan, Path folder, ProcessSet processes) {
@@ -38,9 +38,9 @@
       operatorPorts.add(FreePorts.nextAddress());
       if (plan.linked()) {
         links.add(new LoopbackLink(innerPorts.get(host)));
-        reached.add(links.get(host).address());
+        advertisedInnerAddresses.add(links.get(host).address());
       } else {
-        reached.add(innerPorts.get(host));
+        advertisedInnerAddresses.add(innerPorts.get(host));
       }
     }
   }
@@ -65,11 +65,11 @@
   private String settings(int host) {
     boolean control = host < plan.controlHosts();
     String hosts =
-        reached.stream()
+        advertisedInnerAddresses.stream()
             .limit(plan.controlHosts())
-            .map(LocalHttp::text)
+            .map(LocalHttp::hostAndPort)
             .collect(Collectors.joining(","));
-    String text =
+    String template =
         """
         [host]
         id = %s
@@ -88,14 +88,14 @@
         cluster-key-file = cluster.key
         operator-key-file = operator.key
         """;
-    return text.formatted(
+    return template.formatted(
         name(host),
         ZONES.get(host % ZONES.size()),
         control ? "control,proxy" : "proxy",
-        LocalHttp.text(callerPorts.get(host)),
-        LocalHttp.text(reached.get(host)),
-        LocalHttp.text(innerPorts.get(host)),
-        LocalHttp.text(operatorPorts.get(host)),
+        LocalHttp.hostAndPort(callerPorts.get(host)),
+        LocalHttp.hostAndPort(advertisedInnerAddresses.get(host)),
+        LocalHttp.hostAndPort(innerPorts.get(host)),
+        LocalHttp.hostAndPort(operatorPorts.get(host)),
         hosts,
         control ? "data-folder = " + name(host) + "-data" : "");
   }
@@ -106,8 +106,8 @@
         name(host), MAX_HEAP, DaemonMain.class, List.of("--settings", settings.toString()));
   }
 
-  /** Empties the data folder of a host that does not run. */
-  void wipe(int host) {
+  /** Deletes the content of the data folder of a stopped host. */
+  void deleteData(int host) {
     try (Stream<Path> files = Files.walk(dataFolder(host))) {
       for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
         Files.delete(file);
@@ -122,7 +122,7 @@
     return List.copyOf(callerPorts);
   }
 
-  /** Returns the links before the hosts' inner ports, by host; none without links. */
+  /** Returns the links in front of the inner ports, by host; empty if links are disabled. */
   List<LoopbackLink> links() {
     return List.copyOf(links);
   }
--- a/alderyard-cli/src/main/java/org/alderyard/cli/local/LocalHttp.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/local/LocalHttp.java
@@ -13,7 +13,7 @@
 import org.alderyard.common.error.AlderyardException;
 import org.alderyard.common.http.Json;
 
-/** Blocking JSON requests to the processes of a local system. */
+/** Blocking HTTP client for JSON requests to the processes of a local system. */
 public final class LocalHttp {
   static final String OPERATOR_KEY = "local-operator-key";
   private static final Duration TIMEOUT = Duration.ofSeconds(5);
@@ -21,75 +21,80 @@
   private final HttpClient http =
       HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(TIMEOUT).build();
 
-  static String text(InetSocketAddress address) {
+  static String hostAndPort(InetSocketAddress address) {
     return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 
-  /** Returns the answer of a GET, if it is 200. */
-  public Optional<JsonNode> get(InetSocketAddress to, String path) {
-    return send(request(to, path).GET().build());
+  /** Sends a GET request; returns the response body, or empty on an error or a lost response. */
+  public Optional<JsonNode> get(InetSocketAddress address, String path) {
+    return send(request(address, path).GET().build());
   }
 
-  /** Returns the answer of a POST, if it is 200. */
-  public Optional<JsonNode> post(InetSocketAddress to, String path, JsonNode body) {
+  /** Sends a POST request; returns the response body, or empty on an error or a lost response. */
+  public Optional<JsonNode> post(InetSocketAddress address, String path, JsonNode body) {
     return send(
-        request(to, path).POST(HttpRequest.BodyPublishers.ofByteArray(Json.bytes(body))).build());
+        request(address, path)
+            .POST(HttpRequest.BodyPublishers.ofByteArray(Json.bytes(body)))
+            .build());
   }
 
-  /** Returns the answer of a PUT, if it is 200. */
-  public Optional<JsonNode> put(InetSocketAddress to, String path, String body) {
-    return send(request(to, path).PUT(HttpRequest.BodyPublishers.ofString(body)).build());
+  /** Sends a PUT request; returns the response body, or empty on an error or a lost response. */
+  public Optional<JsonNode> put(InetSocketAddress address, String path, String body) {
+    return send(request(address, path).PUT(HttpRequest.BodyPublishers.ofString(body)).build());
   }
 
-  /** Returns the whole answer of a PUT, errors too; nothing when there was none. */
-  public Optional<JsonNode> putAny(InetSocketAddress to, String path, String body) {
-    return sendAny(request(to, path).PUT(HttpRequest.BodyPublishers.ofString(body)).build());
+  /** Sends a PUT request; returns the response body, also of an error, or empty if it is lost. */
+  public Optional<JsonNode> putAllowingError(InetSocketAddress address, String path, String body) {
+    return sendAllowingError(
+        request(address, path).PUT(HttpRequest.BodyPublishers.ofString(body)).build());
   }
 
-  /** Sends a POST and tells a refused connection from a request that got no answer. */
-  public Sent postCounted(InetSocketAddress to, String path, JsonNode body) {
+  /** Sends a POST request; distinguishes a refused connection from a lost response. */
+  public PostResult postDetectingRefusal(InetSocketAddress address, String path, JsonNode body) {
     HttpRequest request =
-        request(to, path).POST(HttpRequest.BodyPublishers.ofByteArray(Json.bytes(body))).build();
+        request(address, path)
+            .POST(HttpRequest.BodyPublishers.ofByteArray(Json.bytes(body)))
+            .build();
     try {
       HttpResponse<byte[]> response = http.send(request, HttpResponse.BodyHandlers.ofByteArray());
-      return new Sent(false, Optional.of(Json.parseObject(response.body())));
+      return new PostResult(false, Optional.of(Json.parseObject(response.body())));
     } catch (ConnectException refused) {
-      return new Sent(true, Optional.empty());
+      return new PostResult(true, Optional.empty());
     } catch (IOException | AlderyardException lost) {
-      return new Sent(false, Optional.empty());
-    } catch (InterruptedException stopped) {
+      return new PostResult(false, Optional.empty());
+    } catch (InterruptedException interrupted) {
       Thread.currentThread().interrupt();
-      return new Sent(true, Optional.empty());
+      return new PostResult(true, Optional.empty());
     }
   }
 
   /**
-   * What became of a request.
+   * The result of a POST request.
    *
-   * @param refused whether no connection stood, so that nothing was sent
-   * @param answer the answer, an error too; empty when there was none
+   * @param refused whether the connection was refused, so that nothing was sent
+   * @param response response body, also of an error; empty if there is no response
    */
-  public record Sent(boolean refused, Optional<JsonNode> answer) {}
+  public record PostResult(boolean refused, Optional<JsonNode> response) {}
 
-  private static HttpRequest.Builder request(InetSocketAddress to, String path) {
-    return HttpRequest.newBuilder(URI.create("http://" + text(to) + path))
+  private static HttpRequest.Builder request(InetSocketAddress address, String path) {
+    return HttpRequest.newBuilder(URI.create("http://" + hostAndPort(address) + path))
         .timeout(TIMEOUT)
         .header("Authorization", "Bearer " + OPERATOR_KEY);
   }
 
   private Optional<JsonNode> send(HttpRequest request) {
-    return sendAny(request).filter(body -> !body.has("error"));
+    return sendAllowingError(request).filter(body -> !body.has("error"));
   }
 
-  private Optional<JsonNode> sendAny(HttpRequest request) {
+  private Optional<JsonNode> sendAllowingError(HttpRequest request) {
     try {
       HttpResponse<byte[]> response = http.send(request, HttpResponse.BodyHandlers.ofByteArray());
       JsonNode body = Json.parseObject(response.body());
-      boolean plainFailure = response.statusCode() != 200 && !body.has("error");
-      return plainFailure ? Optional.empty() : Optional.of(body);
+      boolean failureWithoutErrorBody = response.statusCode() != 200 && !body.has("error");
+      return failureWithoutErrorBody ? Optional.empty() : Optional.of(body);
     } catch (IOException | AlderyardException lost) {
       return Optional.empty();
-    } catch (InterruptedException stopped) {
+    } catch (InterruptedException interrupted) {
       Thread.currentThread().interrupt();
       return Optional.empty();
     }
--- a/alderyard-cli/src/main/java/org/alderyard/cli/local/LocalServers.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/local/LocalServers.java
@@ -11,9 +11,9 @@
 import org.alderyard.testkit.net.FreePorts;
 import org.alderyard.testkit.standin.StandInMain;
 
-/** The stand-in servers of a local system, and their processes. */
+/** Stand-in servers of a local system and their processes. */
 final class LocalServers {
-  private static final int PER_GROUP = 3;
+  private static final int SERVERS_PER_GROUP = 3;
   private static final String MAX_HEAP = "96m";
 
   private final SystemPlan plan;
@@ -29,7 +29,7 @@
     this.processes = processes;
     this.entryHosts = List.copyOf(entryHosts);
     for (String group : plan.groups()) {
-      for (int number = 0; number < PER_GROUP; number++) {
+      for (int number = 0; number < SERVERS_PER_GROUP; number++) {
         String name = group + "-" + (number + 1);
         Server server = new Server(group, number, FreePorts.nextAddress());
         if (plan.linked()) {
@@ -43,38 +43,39 @@
   void startAll() {
     servers.forEach(
         (name, server) -> {
-          List<String> first =
+          List<String> roleArguments =
               server.number == 0
                   ? List.of("--primary")
-                  : List.of("--follow", LocalHttp.text(servers.get(server.group + "-1").address));
-          start(name, 1, first);
+                  : List.of(
+                      "--follow", LocalHttp.hostAndPort(servers.get(server.group + "-1").address));
+          start(name, 1, roleArguments);
         });
   }
 
-  /** Starts a server again that was killed; its log file is as the death left it. */
+  /** Restarts a killed server with its existing log file and a new incarnation. */
   void restart(String name) {
     Server server = servers.get(name);
     server.incarnation++;
     start(name, server.incarnation, List.of());
   }
 
-  private void start(String name, int incarnation, List<String> more) {
+  private void start(String name, int incarnation, List<String> extraArguments) {
     Server server = servers.get(name);
     List<String> arguments = new ArrayList<>();
     arguments.addAll(List.of("--server", name));
     arguments.addAll(List.of("--group", server.group));
     arguments.addAll(List.of("--zone", LocalHosts.ZONES.get(server.number)));
-    arguments.addAll(List.of("--listen", LocalHttp.text(server.address)));
+    arguments.addAll(List.of("--listen", LocalHttp.hostAndPort(server.address)));
     server.link.ifPresent(
-        link -> arguments.addAll(List.of("--announce", LocalHttp.text(link.address()))));
+        link -> arguments.addAll(List.of("--announce", LocalHttp.hostAndPort(link.address()))));
     arguments.addAll(List.of("--incarnation", Integer.toString(incarnation)));
     arguments.addAll(List.of("--data", folder.resolve(name + ".data").toString()));
     arguments.addAll(List.of("--apply-lag-millis", Integer.toString(plan.applyLagMillis())));
     arguments.addAll(
         List.of(
             "--entry-hosts",
-            entryHosts.stream().map(LocalHttp::text).collect(Collectors.joining(","))));
-    arguments.addAll(more);
+            entryHosts.stream().map(LocalHttp::hostAndPort).collect(Collectors.joining(","))));
+    arguments.addAll(extraArguments);
     processes.start(name, MAX_HEAP, StandInMain.class, arguments);
   }
 
@@ -82,7 +83,7 @@
     return servers.get(name).address;
   }
 
-  /** Returns the links before the servers; none without links. */
+  /** Returns the links in front of the servers, by server; empty if links are disabled. */
   Map<String, LoopbackLink> links() {
     Map<String, LoopbackLink> links = new LinkedHashMap<>();
     servers.forEach((name, server) -> server.link.ifPresent(link -> links.put(name, link)));
--- a/alderyard-cli/src/main/java/org/alderyard/cli/local/LocalSystem.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/local/LocalSystem.java
@@ -16,16 +16,16 @@
 import org.alderyard.common.error.ErrorCode;
 import org.alderyard.common.http.Json;
 
-/** Hosts and stand-in servers as processes, and the faults that can be done to them. */
+/** Hosts and stand-in servers that run as local processes, with methods to inject faults. */
 public final class LocalSystem implements AutoCloseable {
-  /** The pools that the first ticket creates, before the same groups. */
+  /** The pools that the first ticket creates; all of them contain the same groups. */
   public static final List<String> POOLS = List.of("listings-db", "ledger-new");
 
   private static final String TOKEN_KEY = "bG9jYWwtdG9rZW4ta2V5LTAxMg==";
   private static final int WARM_UP_KEYS = 12;
   private static final Duration START_TIMEOUT = Duration.ofSeconds(60);
-  private static final Duration POLL = Duration.ofMillis(100);
-  private static final String SWITCHES = "/stand-in/switches";
+  private static final Duration POLL_INTERVAL = Duration.ofMillis(100);
+  private static final String SWITCHES_PATH = "/stand-in/switches";
 
   private final SystemPlan plan;
   private final Path folder;
@@ -35,7 +35,7 @@
   private final LocalHttp http = new LocalHttp();
   private final InstantSource wallClock = InstantSource.system();
 
-  /** Prepares a system whose settings, data and logs stand in the folder. */
+  /** Creates a system that stores its settings, data and logs in the folder. */
   public LocalSystem(SystemPlan plan, Path folder) {
     this.plan = plan;
     this.folder = folder;
@@ -44,18 +44,24 @@
     servers = new LocalServers(plan, folder, processes, hosts.callerPorts());
   }
 
-  /** Starts everything and returns once every proxy writes to every group. */
+  /** Starts all processes and waits until every proxy can write to every group. */
   public void start() throws IOException {
     hosts.writeSettings();
     for (int host = 0; host < plan.hosts(); host++) {
       hosts.start(host);
     }
     servers.startAll();
-    await("the hosts", () -> hosts.callerPorts().stream().allMatch(this::ready));
-    // The same ticket can be sent again after a lost answer: its first answer is given again.
-    await("the ticket", () -> http.put(operatorPort(0), "/v1/tickets/1", ticket()).isPresent());
-    await("the primaries", () -> plan.groups().stream().allMatch(g -> primaryOf(g).isPresent()));
-    await("writes on all proxies", () -> hosts.callerPorts().stream().allMatch(this::writes));
+    await("the hosts to be ready", () -> hosts.callerPorts().stream().allMatch(this::isReady));
+    // The ticket can be resent after a lost response: the first response is returned again.
+    await(
+        "the ticket to be accepted",
+        () -> http.put(operatorPort(0), "/v1/tickets/1", ticket()).isPresent());
+    await(
+        "a primary in every group",
+        () -> plan.groups().stream().allMatch(g -> primaryOf(g).isPresent()));
+    await(
+        "all proxies to accept writes",
+        () -> hosts.callerPorts().stream().allMatch(this::acceptsWrites));
   }
 
   private String ticket() {
@@ -72,15 +78,15 @@
     return "{\"objects\":[" + objects + "]}";
   }
 
-  private boolean ready(InetSocketAddress callerPort) {
+  private boolean isReady(InetSocketAddress callerPort) {
     return http.get(callerPort, "/ready").isPresent();
   }
 
   /**
-   * Returns whether a proxy writes to every group, with request ids of all owners: an owner refuses
-   * ids for some seconds after it joined. The keys of the warm-up are used no more.
+   * Returns whether a proxy can write to every group with request ids of every owner. An owner
+   * rejects request ids for some seconds after it joins. Load runs don't use the warm-up keys.
    */
-  private boolean writes(InetSocketAddress callerPort) {
+  private boolean acceptsWrites(InetSocketAddress callerPort) {
     for (int key = 0; key < WARM_UP_KEYS; key++) {
       long nowMillis = wallClock.millis();
       JsonNode write =
@@ -98,38 +104,38 @@
     return true;
   }
 
-  /** Waits for a condition; a process that ended meanwhile is an error at once. */
-  private void await(String what, BooleanSupplier condition) {
-    long polls = START_TIMEOUT.dividedBy(POLL);
+  /** Polls until a condition holds; fails immediately if a process exits in the meantime. */
+  private void await(String expectation, BooleanSupplier condition) {
+    long polls = START_TIMEOUT.dividedBy(POLL_INTERVAL);
     for (long poll = 0; poll < polls; poll++) {
       if (condition.getAsBoolean()) {
         return;
       }
-      processes.ended().ifPresent(this::reject);
-      LockSupport.parkNanos(POLL.toNanos());
+      processes.exitedProcess().ifPresent(this::failOnExit);
+      LockSupport.parkNanos(POLL_INTERVAL.toNanos());
     }
     throw AlderyardException.notRun(
-        ErrorCode.DEADLINE_EXCEEDED, "waited for " + what + " in vain; logs: " + folder);
+        ErrorCode.DEADLINE_EXCEEDED, "timed out waiting for " + expectation + "; logs: " + folder);
   }
 
-  private void reject(String ended) {
+  private void failOnExit(String processName) {
     throw AlderyardException.notRun(
         ErrorCode.INTERNAL,
-        ended + " ended during the start; its log: " + folder.resolve(ended + ".log"));
+        processName + " exited unexpectedly; log file: " + folder.resolve(processName + ".log"));
   }
 
-  /** Returns the primary of a group, as the last host that answers sees it. */
+  /** Returns the primary of a group as reported by the last host that responds. */
   public Optional<String> primaryOf(String group) {
     for (int host = plan.hosts() - 1; host >= 0; host--) {
       Optional<JsonNode> answer = http.get(operatorPort(host), "/v1/groups");
       if (answer.isPresent()) {
-        return primaryIn(answer.get(), group);
+        return findPrimary(answer.get(), group);
       }
     }
     return Optional.empty();
   }
 
-  private static Optional<String> primaryIn(JsonNode answer, String group) {
+  private static Optional<String> findPrimary(JsonNode answer, String group) {
     for (JsonNode node : answer.path("groups")) {
       if (node.path("id").asText().equals(group)) {
         return Optional.ofNullable(node.path("primary").textValue());
@@ -138,28 +144,28 @@
     return Optional.empty();
   }
 
-  /** Returns the primary of a group; a failover that runs at the moment is waited for. */
+  /** Returns the primary of a group; waits for a failover in progress to complete. */
   public String awaitPrimaryOf(String group) {
     await("a primary of " + group, () -> primaryOf(group).isPresent());
     return primaryOf(group).orElse("");
   }
 
-  /** Returns the plan. */
+  /** Returns the size and options of the system. */
   public SystemPlan plan() {
     return plan;
   }
 
-  /** Returns the callers' ports, by host. */
+  /** Returns the addresses of the callers' ports, by host. */
   public List<InetSocketAddress> callerPorts() {
     return hosts.callerPorts();
   }
 
-  /** Returns the operators' port of a host. */
+  /** Returns the address of the operators' port of a host. */
   public InetSocketAddress operatorPort(int host) {
     return hosts.operatorPorts().get(host);
   }
 
-  /** Returns the client for requests to any process. */
+  /** Returns the HTTP client for requests to hosts and servers. */
   public LocalHttp http() {
     return http;
   }
@@ -169,63 +175,63 @@
     return servers.names();
   }
 
-  /** Returns the links before the hosts' inner ports, by host; none without links. */
+  /** Returns the links in front of the inner ports, by host; empty if links are disabled. */
   public List<LoopbackLink> hostLinks() {
     return hosts.links();
   }
 
-  /** Returns the link before a server. */
+  /** Returns the link in front of a server, or empty if links are disabled. */
   public Optional<LoopbackLink> serverLink(String name) {
     return Optional.ofNullable(servers.links().get(name));
   }
 
-  /** Ends a server at once. */
+  /** Kills the process of a server without a graceful shutdown. */
   public void killServer(String name) {
     processes.kill(name);
   }
 
-  /** Starts a killed server again. */
+  /** Restarts a killed server with its existing log. */
   public void restartServer(String name) {
     servers.restart(name);
   }
 
-  /** Sets fault switches of a server; returns what it answers, also how much it has run. */
+  /** Sets fault switches of a server; returns its response, which includes its statement count. */
   public Optional<JsonNode> switchServer(String name, JsonNode switches) {
-    return http.post(servers.address(name), SWITCHES, switches);
+    return http.post(servers.address(name), SWITCHES_PATH, switches);
   }
 
-  /** Ends a host at once. */
+  /** Kills the process of a host without a graceful shutdown. */
   public void killHost(int host) {
     processes.kill(LocalHosts.name(host));
   }
 
-  /** Asks a host to end and waits until it has. */
+  /** Shuts a host down gracefully and waits until its process exits. */
   public void stopHost(int host) {
     processes.stop(LocalHosts.name(host));
   }
 
-  /** Empties the data folder of a host that was ended. */
-  public void wipeHost(int host) {
-    hosts.wipe(host);
+  /** Deletes the content of the data folder of a stopped host. */
+  public void deleteHostData(int host) {
+    hosts.deleteData(host);
   }
 
-  /** Starts a host that was ended, and waits until it takes work. */
+  /** Starts a stopped host and waits until it is ready. */
   public void startHost(int host) {
     hosts.start(host);
-    await(LocalHosts.name(host), () -> ready(hosts.callerPorts().get(host)));
+    await(LocalHosts.name(host), () -> isReady(hosts.callerPorts().get(host)));
   }
 
-  /** Stops a host or server from running; {@link #resume} ends that. */
+  /** Suspends the process of a host or server until {@link #resume}. */
   public void pause(String process) {
     processes.pause(process);
   }
 
-  /** Lets a paused host or server run again. */
+  /** Resumes the suspended process of a host or server. */
   public void resume(String process) {
     processes.resume(process);
   }
 
-  /** Returns the name of a host's process. */
+  /** Returns the process name of a host. */
   public static String hostName(int host) {
     return LocalHosts.name(host);
   }
--- a/alderyard-cli/src/main/java/org/alderyard/cli/local/LoopbackLink.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/local/LoopbackLink.java
@@ -13,62 +13,62 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * A port that passes connections on to another one, and does to them what networks do.
+ * A TCP forwarder on the loopback interface that injects network faults.
  *
- * <p>What is held back in a cut goes on its way when the cut ends, as a network sends it again.
+ * <p>Bytes that are held during a partition are forwarded afterwards, as by TCP retransmission.
  */
 public final class LoopbackLink implements AutoCloseable {
   private static final int BUFFER_BYTES = 16 * 1024;
   private static final int BACKLOG = 256;
 
-  /** How often a held direction looks whether it may go on. */
-  private static final long HOLD_NANOS = 5_000_000;
+  /** Interval at which a held direction checks whether forwarding may continue. */
+  private static final long HOLD_POLL_NANOS = 5_000_000;
 
   private static final long STACK_BYTES = 128 * 1024;
 
   private final InetSocketAddress target;
-  private final ServerSocket port;
-  private final Set<Pair> pairs = ConcurrentHashMap.newKeySet();
+  private final ServerSocket serverSocket;
+  private final Set<Connection> connections = ConcurrentHashMap.newKeySet();
   private volatile long delayMillis;
-  private volatile boolean heldIn;
-  private volatile boolean heldOut;
+  private volatile boolean holdToTarget;
+  private volatile boolean holdFromTarget;
   private volatile boolean closed;
 
-  /** Listens on a free port of the loopback for connections to the target. */
+  /** Listens on a free loopback port and forwards connections to the target. */
   public LoopbackLink(InetSocketAddress target) {
     this.target = target;
     try {
-      port = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
-    } catch (IOException noPort) {
-      throw new UncheckedIOException(noPort);
+      serverSocket = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
+    } catch (IOException failure) {
+      throw new UncheckedIOException(failure);
     }
     start(this::accept, "link");
   }
 
-  /** Returns where the target is reached through this link. */
+  /** Returns the listen address, through which clients connect to the target. */
   public InetSocketAddress address() {
-    return (InetSocketAddress) port.getLocalSocketAddress();
+    return (InetSocketAddress) serverSocket.getLocalSocketAddress();
   }
 
-  /** Passes everything on this much later; 0 ends it. */
-  public void delay(long millis) {
+  /** Delays the forwarding of each received block in both directions; 0 disables the delay. */
+  public void setDelay(long millis) {
     delayMillis = millis;
   }
 
-  /** Holds what goes to the target, what comes from it, or both; false ends it. */
+  /** Holds bytes to the target, bytes from the target, or both; false releases a direction. */
   public void hold(boolean toTarget, boolean fromTarget) {
-    heldIn = toTarget;
-    heldOut = fromTarget;
+    holdToTarget = toTarget;
+    holdFromTarget = fromTarget;
   }
 
-  /** Breaks the connections that are open. */
+  /** Resets all open connections. */
   public void reset() {
-    pairs.forEach(Pair::reset);
+    connections.forEach(Connection::reset);
   }
 
-  /** Lets nothing pass on the connections that are open, for good; new ones work. */
-  public void silence() {
-    pairs.forEach(pair -> pair.silent = true);
+  /** Permanently stops forwarding on all open connections; new connections are unaffected. */
+  public void blackhole() {
+    connections.forEach(connection -> connection.blackholed = true);
   }
 
   private static void start(Runnable task, String name) {
@@ -80,26 +80,26 @@
   private void accept() {
     while (!closed) {
       try {
-        Socket caller = port.accept();
-        start(() -> connect(caller), "link-connect");
+        Socket client = serverSocket.accept();
+        start(() -> connect(client), "link-connect");
       } catch (IOException ended) {
         return;
       }
     }
   }
 
-  private void connect(Socket caller) {
-    Socket server = new Socket();
-    Pair pair = new Pair(caller, server);
+  private void connect(Socket client) {
+    Socket targetSocket = new Socket();
+    Connection connection = new Connection(client, targetSocket);
     try {
-      caller.setTcpNoDelay(true);
-      server.setTcpNoDelay(true);
-      server.connect(target);
-      pairs.add(pair);
-      start(() -> pair.pump(caller, server, true), "link-in");
-      pair.pump(server, caller, false);
+      client.setTcpNoDelay(true);
+      targetSocket.setTcpNoDelay(true);
+      targetSocket.connect(target);
+      connections.add(connection);
+      start(() -> connection.forward(client, targetSocket, true), "link-in");
+      connection.forward(targetSocket, client, false);
     } catch (IOException refused) {
-      pair.reset();
+      connection.reset();
     }
   }
 
@@ -107,48 +107,48 @@
   public void close() {
     closed = true;
     try {
-      port.close();
+      serverSocket.close();
     } catch (IOException ignored) {
-      // Nothing is accepted any more in any case.
+      // The link is closed, so a failure to close its socket has no effect.
     }
     reset();
   }
 
-  /** The two connections that one caller's connection consists of. */
-  private final class Pair {
-    private final Socket caller;
-    private final Socket server;
-    private volatile boolean silent;
+  /** A forwarded connection: the socket of the caller and the socket to the target. */
+  private final class Connection {
+    private final Socket client;
+    private final Socket targetSocket;
+    private volatile boolean blackholed;
 
-    Pair(Socket caller, Socket server) {
-      this.caller = caller;
-      this.server = server;
+    Connection(Socket client, Socket targetSocket) {
+      this.client = client;
+      this.targetSocket = targetSocket;
     }
 
     void reset() {
-      pairs.remove(this);
-      abort(caller);
-      abort(server);
+      connections.remove(this);
+      abort(client);
+      abort(targetSocket);
     }
 
     private static void abort(Socket socket) {
       try {
         socket.setSoLinger(true, 0);
         socket.close();
-      } catch (IOException closedBefore) {
-        // It is what was asked for.
+      } catch (IOException alreadyClosed) {
+        // The socket is already closed.
       }
     }
 
-    void pump(Socket from, Socket to, boolean toTarget) {
+    void forward(Socket from, Socket to, boolean toTarget) {
       byte[] buffer = new byte[BUFFER_BYTES];
       try {
         InputStream in = from.getInputStream();
         OutputStream out = to.getOutputStream();
         for (int n = in.read(buffer); n >= 0; n = in.read(buffer)) {
           LockSupport.parkNanos(delayMillis * 1_000_000);
-          while (!closed && (silent || (toTarget ? heldIn : heldOut))) {
-            LockSupport.parkNanos(HOLD_NANOS);
+          while (!closed && (blackholed || (toTarget ? holdToTarget : holdFromTarget))) {
+            LockSupport.parkNanos(HOLD_POLL_NANOS);
           }
           out.write(buffer, 0, n);
         }
--- a/alderyard-cli/src/main/java/org/alderyard/cli/local/ProcessSet.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/local/ProcessSet.java
@@ -11,35 +11,35 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
-/** The Java processes that a local system started, by name; closing ends all of them. */
+/** Java child processes of a local system, by name; {@link #close} stops all of them. */
 final class ProcessSet implements AutoCloseable {
   private static final List<String> JVM_OPTIONS =
       List.of("-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC", "-Xshare:auto");
-  private static final long END_SECONDS = 40;
+  private static final long STOP_TIMEOUT_SECONDS = 40;
 
   private final Path folder;
   private final Map<String, Process> processes = new LinkedHashMap<>();
 
-  // A command that is asked to end leaves no process behind.
-  private final Thread atExit = new Thread(this::killAll, "end-processes");
+  // Without the hook, child processes would outlive a command that is terminated.
+  private final Thread shutdownHook = new Thread(this::killAll, "end-processes");
 
   ProcessSet(Path folder) {
     this.folder = folder;
-    Runtime.getRuntime().addShutdownHook(atExit);
+    Runtime.getRuntime().addShutdownHook(shutdownHook);
   }
 
   private synchronized void killAll() {
     processes.values().forEach(Process::destroyForcibly);
   }
 
-  synchronized void start(String name, String maxHeap, Class<?> main, List<String> arguments) {
+  synchronized void start(String name, String maxHeap, Class<?> mainClass, List<String> arguments) {
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
     command.addAll(JVM_OPTIONS);
     command.add("-Xmx" + maxHeap);
     command.add("-cp");
     command.add(System.getProperty("java.class.path"));
-    command.add(main.getName());
+    command.add(mainClass.getName());
     command.addAll(arguments);
     File output = folder.resolve(name + ".log").toFile();
     processes.put(name, run(command, output));
@@ -56,52 +56,52 @@
     }
   }
 
-  /** Ends a process at once, as a power cut does. */
+  /** Kills a process without a graceful shutdown, which simulates a power failure. */
   synchronized void kill(String name) {
     Process process = processes.remove(name);
     process.destroyForcibly();
-    awaitEnd(process);
+    awaitExit(process);
   }
 
-  /** Asks a process to end and waits until it has. */
+  /** Shuts a process down gracefully and waits until it exits. */
   void stop(String name) {
     Process process;
     synchronized (this) {
       process = processes.remove(name);
     }
     process.destroy();
-    awaitEnd(process);
+    awaitExit(process);
   }
 
-  /** Stops a process from running at all, as a long pause of its machine does. */
+  /** Suspends a process with SIGSTOP, which simulates a long pause of its machine. */
   synchronized void pause(String name) {
     signal(name, "-STOP");
   }
 
-  /** Lets a paused process run again. */
+  /** Resumes a suspended process with SIGCONT. */
   synchronized void resume(String name) {
     signal(name, "-CONT");
   }
 
   private void signal(String name, String signal) {
     String processId = Long.toString(processes.get(name).pid());
-    awaitEnd(run(List.of("kill", signal, processId), folder.resolve("signals.log").toFile()));
+    awaitExit(run(List.of("kill", signal, processId), folder.resolve("signals.log").toFile()));
   }
 
-  /** Returns the name of a process that ended by itself, if there is one. */
-  synchronized Optional<String> ended() {
+  /** Returns the name of a process that exited by itself, or empty if all are alive. */
+  synchronized Optional<String> exitedProcess() {
     return processes.entrySet().stream()
         .filter(process -> !process.getValue().isAlive())
         .map(Map.Entry::getKey)
         .findFirst();
   }
 
-  private static void awaitEnd(Process process) {
+  private static void awaitExit(Process process) {
     try {
-      if (!process.waitFor(END_SECONDS, TimeUnit.SECONDS)) {
+      if (!process.waitFor(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
         process.destroyForcibly();
       }
-    } catch (InterruptedException stopped) {
+    } catch (InterruptedException interrupted) {
       Thread.currentThread().interrupt();
       process.destroyForcibly();
     }
@@ -110,11 +110,11 @@
   @Override
   public synchronized void close() {
     processes.values().forEach(Process::destroy);
-    processes.values().forEach(ProcessSet::awaitEnd);
+    processes.values().forEach(ProcessSet::awaitExit);
     try {
-      Runtime.getRuntime().removeShutdownHook(atExit);
-    } catch (IllegalStateException exiting) {
-      // The hook runs already, and finds processes that have ended.
+      Runtime.getRuntime().removeShutdownHook(shutdownHook);
+    } catch (IllegalStateException shuttingDown) {
+      // The JVM is shutting down: the hook is already running, and the processes have exited.
     }
   }
 }
--- a/alderyard-cli/src/main/java/org/alderyard/cli/local/SystemPlan.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/local/SystemPlan.java
@@ -4,18 +4,18 @@
 import java.util.stream.IntStream;
 
 /**
- * The size of a local system.
+ * The size and options of a local system.
  *
- * @param hosts the entry hosts; the first ones are control hosts too
- * @param controlHosts how many hosts have a data folder
- * @param groupCount the database groups, of three stand-in servers each
- * @param linked whether hosts and servers are reached through links that faults can be done to
- * @param applyLagMillis how long an entry waits on a replica before reads show it
+ * @param hosts number of entry hosts; the first {@code controlHosts} are also control hosts
+ * @param controlHosts number of hosts that have a data folder
+ * @param groupCount number of database groups, each with three stand-in servers
+ * @param linked whether connections pass through links that can inject network faults
+ * @param applyLagMillis delay until reads on a replica see a new log entry
  */
 public record SystemPlan(
     int hosts, int controlHosts, int groupCount, boolean linked, int applyLagMillis) {
 
-  /** Returns the names of the groups. */
+  /** Returns the names of the database groups. */
   public List<String> groups() {
     return IntStream.rangeClosed(1, groupCount).mapToObj(number -> "group-" + number).toList();
   }
--- a/alderyard-cli/src/main/java/org/alderyard/cli/local/package-info.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/local/package-info.java
@@ -1,6 +1,6 @@
 /**
- * A whole small system as processes of this machine, for demonstrations and experiments.
+ * Runs a small system as processes of the local machine, for demonstrations and fault tests.
  *
- * <p>It is a tool for developers. The processes of the system themselves start no other process.
+ * <p>This package is a developer tool. The processes of the system start no child processes.
  */
 package org.alderyard.cli.local;
--- a/alderyard-cli/src/main/java/org/alderyard/cli/prove/HostFaults.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/prove/HostFaults.java
@@ -65,7 +65,7 @@
   private static void wipeControl(LocalSystem system, FaultContext context) {
     int host = someControl(system, context);
     system.killHost(host);
-    system.wipeHost(host);
+    system.deleteHostData(host);
     system.startHost(host);
   }
 
@@ -94,11 +94,11 @@
         Json.object().put("key", "warm-up-1").put("kind", "read").put("statement", "get");
     String path = "/v1/pools/" + LocalSystem.POOLS.get(0) + "/statements";
     while (!stopping.get()) {
-      LocalHttp.Sent sent = http.postCounted(port, path, read);
+      LocalHttp.PostResult sent = http.postDetectingRefusal(port, path, read);
       if (sent.refused()) {
         return;
       }
-      context.gracefulShutdown.record(sent.answer().isPresent());
+      context.gracefulShutdown.record(sent.response().isPresent());
     }
   }
 
--- a/alderyard-cli/src/main/java/org/alderyard/cli/prove/LinkFaults.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/prove/LinkFaults.java
@@ -21,8 +21,8 @@
         new Fault("delay what goes to a server", (s, c) -> delay(serverLink(s, c), c)),
         new Fault("break the connections to a host", (s, c) -> hostLink(s, c).reset()),
         new Fault("break the connections to a server", (s, c) -> serverLink(s, c).reset()),
-        new Fault("open connections to a host go silent", (s, c) -> hostLink(s, c).silence()),
-        new Fault("open connections to a server go silent", (s, c) -> serverLink(s, c).silence()),
+        new Fault("open connections to a host go silent", (s, c) -> hostLink(s, c).blackhole()),
+        new Fault("open connections to a server go silent", (s, c) -> serverLink(s, c).blackhole()),
         new Fault("cut a host off, one way", (s, c) -> cut(hostLink(s, c), c, false)),
         new Fault("cut a host's answers off", (s, c) -> cut(hostLink(s, c), c, true)),
         new Fault("cut a primary off", (s, c) -> cut(primaryLink(s, c), c, c.number(2) == 0)));
@@ -45,9 +45,9 @@
   }
 
   private static void delay(LoopbackLink link, FaultContext context) {
-    link.delay(1 + context.number((int) DELAY_MILLIS));
+    link.setDelay(1 + context.number((int) DELAY_MILLIS));
     context.last(SLOW);
-    link.delay(0);
+    link.setDelay(0);
   }
 
   private static void cut(LoopbackLink link, FaultContext context, boolean answers) {
--- a/alderyard-cli/src/main/java/org/alderyard/cli/prove/TicketFaults.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/prove/TicketFaults.java
@@ -36,7 +36,7 @@
   }
 
   private static Optional<JsonNode> put(LocalSystem system, int host, int number, String body) {
-    return system.http().putAny(system.operatorPort(host), "/v1/tickets/" + number, body);
+    return system.http().putAllowingError(system.operatorPort(host), "/v1/tickets/" + number, body);
   }
 
   private static String code(Optional<JsonNode> answer) {
--- a/alderyard-cli/src/test/java/org/alderyard/cli/local/LoopbackLinkTest.java
+++ b/alderyard-cli/src/test/java/org/alderyard/cli/local/LoopbackLinkTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A link shows its faults, and the end of those that end; else a soak would prove nothing. */
+/** Checks that a link injects faults and clears temporary ones; soak runs depend on both. */
 class LoopbackLinkTest {
   private static final int SHORT_MILLIS = 200;
   private static final int LONG_MILLIS = 20_000;
@@ -40,7 +40,7 @@
     while (!echo.isClosed()) {
       try {
         Socket socket = echo.accept();
-        Thread thread = new Thread(() -> answer(socket));
+        Thread thread = new Thread(() -> echoBytes(socket));
         thread.setDaemon(true);
         thread.start();
       } catch (IOException closed) {
@@ -49,11 +49,11 @@
     }
   }
 
-  private static void answer(Socket socket) {
+  private static void echoBytes(Socket socket) {
     try (socket) {
       socket.getInputStream().transferTo(socket.getOutputStream());
     } catch (IOException broken) {
-      // The test breaks connections.
+      // The tests reset connections on purpose.
     }
   }
 
@@ -68,14 +68,14 @@
   }
 
   @Test
-  void passesOnBothWays() throws IOException {
+  void forwardsInBothDirections() throws IOException {
     try (Socket socket = connect()) {
       assertThat(sendAndReceive(socket, LONG_MILLIS)).isEqualTo((int) 'x');
     }
   }
 
   @Test
-  void cutHoldsBytesUntilItEnds() throws IOException {
+  void holdDelaysBytesUntilReleased() throws IOException {
     try (Socket socket = connect()) {
       assertThat(sendAndReceive(socket, LONG_MILLIS)).isEqualTo((int) 'x');
       link.hold(false, true);
@@ -87,19 +87,20 @@
   }
 
   @Test
-  void silentConnectionStaysSilentWhileNewOnesWork() throws IOException {
-    try (Socket old = connect()) {
-      assertThat(sendAndReceive(old, LONG_MILLIS)).isEqualTo((int) 'x');
-      link.silence();
-      assertThrows(SocketTimeoutException.class, () -> sendAndReceive(old, SHORT_MILLIS));
-      try (Socket fresh = connect()) {
-        assertThat(sendAndReceive(fresh, LONG_MILLIS)).isEqualTo((int) 'x');
+  void blackholeAffectsOnlyOpenConnections() throws IOException {
+    try (Socket openConnection = connect()) {
+      assertThat(sendAndReceive(openConnection, LONG_MILLIS)).isEqualTo((int) 'x');
+      link.blackhole();
+      assertThrows(
+          SocketTimeoutException.class, () -> sendAndReceive(openConnection, SHORT_MILLIS));
+      try (Socket newConnection = connect()) {
+        assertThat(sendAndReceive(newConnection, LONG_MILLIS)).isEqualTo((int) 'x');
       }
     }
   }
 
   @Test
-  void resetBreaksOpenConnections() throws IOException {
+  void resetClosesOpenConnections() throws IOException {
     try (Socket socket = connect()) {
       assertThat(sendAndReceive(socket, LONG_MILLIS)).isEqualTo((int) 'x');
       link.reset();
--- a/alderyard-cli/src/test/java/org/alderyard/cli/local/ProcessSetTest.java
+++ b/alderyard-cli/src/test/java/org/alderyard/cli/local/ProcessSetTest.java
@@ -12,9 +12,9 @@
 class ProcessSetTest {
   @TempDir Path folder;
 
-  /** Ends at once, as a server does whose port is taken. */
-  static final class EndsAtOnce {
-    private EndsAtOnce() {}
+  /** Exits immediately, like a server whose port is in use. */
+  static final class ExitsImmediately {
+    private ExitsImmediately() {}
 
     public static void main(String[] arguments) {
       throw new IllegalStateException("the port is in use");
@@ -23,15 +23,15 @@
 
   @Test
   @Timeout(value = 60, unit = TimeUnit.SECONDS)
-  void namesTheProcessThatEnded() {
-    // A server ended while a local system started, and the user was told only that the hosts had
-    // been waited for in vain, with a folder of 24 logs.
+  void returnsNameOfExitedProcess() {
+    // Without the name, a server that exits during startup is reported only as a timeout of the
+    // hosts, and the cause must be searched for in a folder of 24 logs.
     try (ProcessSet processes = new ProcessSet(folder)) {
-      processes.start("group-1-3", "32m", EndsAtOnce.class, List.of());
-      while (processes.ended().isEmpty()) {
+      processes.start("group-1-3", "32m", ExitsImmediately.class, List.of());
+      while (processes.exitedProcess().isEmpty()) {
         Thread.onSpinWait();
       }
-      assertThat(processes.ended()).hasValue("group-1-3");
+      assertThat(processes.exitedProcess()).hasValue("group-1-3");
     }
   }
 }
--- a/alderyard-cli/src/test/java/org/alderyard/cli/local/ResentChangeTest.java
+++ b/alderyard-cli/src/test/java/org/alderyard/cli/local/ResentChangeTest.java
@@ -30,26 +30,26 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Guards against a refusal of a change that was taken before: its confirmation is lost, a control
- * host stands still, and the operator sends the same again through a host without a disk.
+ * Checks that a resent change is not rejected after it was applied. The confirmation is lost, a
+ * control host is suspended, and the operator resends the change through a host without a disk.
  *
- * <p>Real processes: three control hosts and one that only passes on what operators send.
+ * <p>Uses real processes: three control hosts and one host that forwards the operator's requests.
  */
 class ResentChangeTest {
   private static final int CONTROL_HOSTS = 3;
-  private static final int ENTRY = CONTROL_HOSTS;
+  private static final int ENTRY_HOST = CONTROL_HOSTS;
   private static final int PORTS = 4;
   private static final int CONFIRMED = 200;
-  private static final int MAX_SENDINGS = 50;
+  private static final int MAX_ATTEMPTS = 50;
   private static final int CALLER = 0;
   private static final int INNER = 1;
   private static final int OPERATOR = 2;
   private static final int READY = 3;
-  private static final Duration ANSWER_TIME = Duration.ofMillis(1_000);
-  private static final Duration RESEND_PAUSE = Duration.ofMillis(100);
-  private static final Duration STAND_STILL = Duration.ofSeconds(3);
-  private static final Duration SHORT_PAUSE = Duration.ofMillis(1_200);
-  private static final Duration FORMING = Duration.ofSeconds(60);
+  private static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(1_000);
+  private static final Duration RESEND_INTERVAL = Duration.ofMillis(100);
+  private static final Duration LONG_SUSPENSION = Duration.ofSeconds(3);
+  private static final Duration SHORT_SUSPENSION = Duration.ofMillis(1_200);
+  private static final Duration CONFIRM_TIMEOUT = Duration.ofSeconds(60);
 
   @TempDir Path folder;
   private final HttpClient http = HttpClient.newHttpClient();
@@ -128,109 +128,110 @@
   private CompletableFuture<Integer> send(String change) {
     HttpRequest request =
         HttpRequest.newBuilder(
-                URI.create("http://127.0.0.1:" + ports[ENTRY][OPERATOR] + "/api/Config.Replace"))
-            .timeout(ANSWER_TIME)
+                URI.create(
+                    "http://127.0.0.1:" + ports[ENTRY_HOST][OPERATOR] + "/api/Config.Replace"))
+            .timeout(RESPONSE_TIMEOUT)
             .POST(HttpRequest.BodyPublishers.ofString(change))
             .build();
     return http.sendAsync(request, HttpResponse.BodyHandlers.ofString())
         .thenApply(HttpResponse::statusCode);
   }
 
-  /** Returns the status, or empty if no answer came: operators turn to another host then. */
-  private static Optional<Integer> status(CompletableFuture<Integer> answer) throws Exception {
+  /** Returns the status, or empty without a response, after which operators try another host. */
+  private static Optional<Integer> status(CompletableFuture<Integer> response) throws Exception {
     try {
-      return Optional.of(answer.get());
-    } catch (java.util.concurrent.ExecutionException noAnswer) {
+      return Optional.of(response.get());
+    } catch (java.util.concurrent.ExecutionException noResponse) {
       return Optional.empty();
     }
   }
 
-  /** Sends a change until it is confirmed, as an operator does; a refusal fails the test. */
+  /** Resends a change until it is confirmed, as an operator does; a rejection fails the test. */
   private void confirm(String change) throws Exception {
-    long end = System.nanoTime() + FORMING.toNanos();
+    long end = System.nanoTime() + CONFIRM_TIMEOUT.toNanos();
     while (System.nanoTime() < end) {
       Optional<Integer> status = status(send(change));
       if (status.equals(Optional.of(CONFIRMED))) {
         return;
       }
-      assertNoneRefused(List.of(status));
-      TimeUnit.NANOSECONDS.sleep(RESEND_PAUSE.toNanos());
+      assertNoneRejected(List.of(status));
+      TimeUnit.NANOSECONDS.sleep(RESEND_INTERVAL.toNanos());
     }
     throw new AssertionError("the change was not confirmed; see " + folder);
   }
 
-  /** Has a change confirmed by an answer that the operator never reads to its end. */
-  private void confirmAndLoseTheAnswer(String change) throws Exception {
+  /** Sends a change until it is confirmed, and closes the connection after the status line. */
+  private void confirmAndDiscardResponse(String change) throws Exception {
     byte[] body = change.getBytes(StandardCharsets.UTF_8);
     String head =
         "POST /api/Config.Replace HTTP/1.1\r\nHost: h\r\nContent-Type: application/json\r\n"
             + "Content-Length: "
             + body.length
             + "\r\n\r\n";
-    String firstLine = "";
-    for (int i = 0; i < MAX_SENDINGS && !firstLine.contains(" " + CONFIRMED + " "); i++) {
-      try (Socket socket = new Socket("127.0.0.1", ports[ENTRY][OPERATOR])) {
+    String statusLine = "";
+    for (int i = 0; i < MAX_ATTEMPTS && !statusLine.contains(" " + CONFIRMED + " "); i++) {
+      try (Socket socket = new Socket("127.0.0.1", ports[ENTRY_HOST][OPERATOR])) {
         socket.getOutputStream().write(head.getBytes(StandardCharsets.ISO_8859_1));
         socket.getOutputStream().write(body);
-        firstLine =
+        statusLine =
             new BufferedReader(
                     new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1))
                 .readLine();
       }
     }
-    assertThat(firstLine).contains(" " + CONFIRMED + " ");
+    assertThat(statusLine).contains(" " + CONFIRMED + " ");
   }
 
-  /** Sends the same again and again, several at once as after time-outs; returns all statuses. */
-  private List<Optional<Integer>> resendFor(Duration time, String change) throws Exception {
+  /** Resends a change concurrently, as after timeouts, and returns the statuses of all attempts. */
+  private List<Optional<Integer>> resendRepeatedly(Duration time, String change) throws Exception {
     List<CompletableFuture<Integer>> sent = new ArrayList<>();
     long end = System.nanoTime() + time.toNanos();
     while (System.nanoTime() < end) {
       sent.add(send(change));
-      TimeUnit.NANOSECONDS.sleep(RESEND_PAUSE.toNanos());
+      TimeUnit.NANOSECONDS.sleep(RESEND_INTERVAL.toNanos());
     }
     List<Optional<Integer>> statuses = new ArrayList<>();
-    for (CompletableFuture<Integer> answer : sent) {
-      statuses.add(status(answer));
+    for (CompletableFuture<Integer> response : sent) {
+      statuses.add(status(response));
     }
     return statuses;
   }
 
-  private static void assertNoneRefused(List<Optional<Integer>> statuses) {
-    List<Integer> refusals =
+  private static void assertNoneRejected(List<Optional<Integer>> statuses) {
+    List<Integer> rejections =
         statuses.stream()
             .flatMap(Optional::stream)
             .filter(status -> status >= 400 && status < 500)
             .toList();
-    assertWithMessage("answers: %s", statuses).that(refusals).isEmpty();
+    assertWithMessage("responses: %s", statuses).that(rejections).isEmpty();
   }
 
   @Test
   @Timeout(value = 300, unit = TimeUnit.SECONDS)
-  void changeSentAgainWhileOneControlHostStandsStillIsConfirmed() throws Exception {
+  void resentChangeIsConfirmedWhileOneControlHostIsSuspended() throws Exception {
     confirm(change(1));
-    for (int still = 0; still < CONTROL_HOSTS; still++) {
-      String change = change(2 + still);
-      confirmAndLoseTheAnswer(change);
-      processes.pause(name(still));
+    for (int suspended = 0; suspended < CONTROL_HOSTS; suspended++) {
+      String change = change(2 + suspended);
+      confirmAndDiscardResponse(change);
+      processes.pause(name(suspended));
 
-      assertNoneRefused(resendFor(STAND_STILL, change));
+      assertNoneRejected(resendRepeatedly(LONG_SUSPENSION, change));
 
       confirm(change);
-      processes.resume(name(still));
+      processes.resume(name(suspended));
     }
   }
 
   @Test
   @Timeout(value = 300, unit = TimeUnit.SECONDS)
-  void changeSentAgainWhileMostControlHostsStandStillStaysUnclear() throws Exception {
+  void resentChangeIsNotRejectedWhileMajorityIsSuspended() throws Exception {
     String change = change(1);
     confirm(change);
-    confirmAndLoseTheAnswer(change);
+    confirmAndDiscardResponse(change);
     processes.pause(name(0));
     processes.pause(name(1));
 
-    assertNoneRefused(resendFor(STAND_STILL, change));
+    assertNoneRejected(resendRepeatedly(LONG_SUSPENSION, change));
 
     processes.resume(name(0));
     processes.resume(name(1));
@@ -238,23 +239,23 @@
   }
 
   /**
-   * The search comes round to the host that stands still when the leader is late once: its next
-   * requests find that host's handshake under way.
+   * When the leader responds late once, the search for the leader reaches the suspended host, and
+   * the next requests encounter the unfinished handshake with that host.
    */
   @Test
   @Timeout(value = 300, unit = TimeUnit.SECONDS)
-  void changeSentAgainWhileOneStandsStillAndTheLeaderIsLateIsConfirmed() throws Exception {
+  void resentChangeIsConfirmedWhileOneHostIsSuspendedAndLeaderIsLate() throws Exception {
     String change = change(1);
     confirm(change);
-    confirmAndLoseTheAnswer(change);
+    confirmAndDiscardResponse(change);
     processes.pause(name(0));
     confirm(change);
     for (int late = 1; late < CONTROL_HOSTS; late++) {
       processes.pause(name(late));
-      assertNoneRefused(resendFor(SHORT_PAUSE, change));
+      assertNoneRejected(resendRepeatedly(SHORT_SUSPENSION, change));
       processes.resume(name(late));
 
-      assertNoneRefused(resendFor(STAND_STILL, change));
+      assertNoneRejected(resendRepeatedly(LONG_SUSPENSION, change));
       confirm(change);
     }
   }
