--- a/alderyard-cli/src/main/java/org/alderyard/cli/demo/DemoCommand.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/demo/DemoCommand.java
@@ -27,22 +27,22 @@
 import org.alderyard.daemon.ExitCode;
 import org.apache.commons.cli.Options;
 
-/** Starts a small system, drives both workloads, kills a primary in the middle, and reports. */
+/** Runs both workloads on a small local system, kills a primary halfway, and prints a report. */
 public final class DemoCommand implements Command {
   private static final CommandSpec SPEC =
       new CommandSpec(
           "demo",
-          "start a small system here, put load on it, kill a primary, and report",
+          "start a small local system, generate load, kill a primary, and report",
           List.of(),
           new Options()
-              .addOption(valued("seconds", "N", "how long the load lasts, 4 to 600; default 20"))
-              .addOption(valued("rate", "N", "actions a second of each workload; default 150"))
+              .addOption(valued("seconds", "N", "duration of the load, 4 to 600; default 20"))
+              .addOption(valued("rate", "N", "actions per second of each workload; default 150"))
               .addOption(flag("keep", "keep the folder with settings and logs")));
-  private static final SystemPlan PLAN = new SystemPlan(5, 3, 3, false, 50);
+  private static final SystemPlan SYSTEM_PLAN = new SystemPlan(5, 3, 3, false, 50);
   private static final int DEFAULT_SECONDS = 20;
   private static final int DEFAULT_RATE = 150;
-  private static final int KEYS = 200;
-  private static final Duration DEADLINE = Duration.ofSeconds(8);
+  private static final int KEY_COUNT = 200;
+  private static final Duration REQUEST_DEADLINE = Duration.ofSeconds(8);
 
   @Override
   public CommandSpec spec() {
@@ -54,25 +54,26 @@
     int seconds = (int) invocation.numberOption("seconds", DEFAULT_SECONDS, 4, 600);
     int rate = (int) invocation.numberOption("rate", DEFAULT_RATE, 1, 10_000);
     Path folder = temporaryFolder();
-    boolean good = false;
-    try (LocalSystem system = new LocalSystem(PLAN, folder)) {
+    boolean passed = false;
+    try (LocalSystem system = new LocalSystem(SYSTEM_PLAN, folder)) {
       invocation.out().println("starting 5 hosts and 9 stand-in servers ...");
       system.start();
-      good = underLoad(system, seconds, rate, invocation.out());
-      return good ? ExitCode.OK : ExitCode.FAILED;
+      passed = runUnderLoad(system, seconds, rate, invocation.out());
+      return passed ? ExitCode.OK : ExitCode.FAILED;
     } catch (IOException failure) {
       throw new UncheckedIOException(failure);
     } finally {
-      if (good && !invocation.hasOption("keep")) {
-        delete(folder);
+      if (passed && !invocation.hasOption("keep")) {
+        deleteRecursively(folder);
       } else {
         invocation.out().println("settings and logs: " + folder);
       }
     }
   }
 
-  private static boolean underLoad(LocalSystem system, int seconds, int rate, PrintStream out) {
-    out.println("load for " + seconds + " s, " + rate + " actions/s of each workload ...");
+  private static boolean runUnderLoad(LocalSystem system, int seconds, int rate, PrintStream out) {
+    out.println(
+        "generating load for " + seconds + " s, " + rate + " actions/s of each workload ...");
     Duration duration = Duration.ofSeconds(seconds);
     final CompletableFuture<LoadReport> listings =
         CompletableFuture.supplyAsync(
@@ -81,7 +82,7 @@
         CompletableFuture.supplyAsync(
             () -> load(system, LocalSystem.POOLS.get(1), Mix.LE_GOFF, duration, rate, 2));
     LockSupport.parkNanos(duration.dividedBy(2).toNanos());
-    String group = PLAN.groups().get(0);
+    String group = SYSTEM_PLAN.groups().get(0);
     String primary = system.awaitPrimaryOf(group);
     system.killServer(primary);
     out.println("killed " + primary + ", the primary of " + group);
@@ -91,7 +92,8 @@
   private static LoadReport load(
       LocalSystem system, String pool, Mix mix, Duration duration, int rate, long seed) {
     LoadPlan plan =
-        new LoadPlan(system.callerPorts(), pool, mix, rate, duration, KEYS, seed, DEADLINE);
+        new LoadPlan(
+            system.callerPorts(), pool, mix, rate, duration, KEY_COUNT, seed, REQUEST_DEADLINE);
     return new LoadRun(plan, MonotonicClock.system(), line -> {}).run();
   }
 
@@ -104,7 +106,7 @@
     out.println("== orders (each exactly once)");
     out.print(orders.toText());
     out.println();
-    String group = PLAN.groups().get(0);
+    String group = SYSTEM_PLAN.groups().get(0);
     boolean replaced =
         system.primaryOf(group).filter(primary -> !primary.equals(killed)).isPresent();
     out.println(
@@ -114,32 +116,32 @@
             + orders.longestWriteGapMillis().getOrDefault(group, -1L)
             + " ms; new primary: "
             + system.primaryOf(group).orElse("none"));
-    boolean served = servesAllGroups(listings) && servesAllGroups(orders);
-    boolean good = listings.clean() && orders.clean() && replaced && served;
-    out.println(good ? "PASSED: no violation" : "FAILED");
-    return good;
+    boolean servedAllGroups = servesAllGroups(listings) && servesAllGroups(orders);
+    boolean passed = listings.clean() && orders.clean() && replaced && servedAllGroups;
+    out.println(passed ? "PASSED: no violation" : "FAILED");
+    return passed;
   }
 
-  /** A system that refuses everything breaks no promise; it must also have done its work. */
+  /** Checks that writes succeeded: a system that rejects all requests breaks no promise. */
   private static boolean servesAllGroups(LoadReport report) {
-    return report.longestWriteGapMillis().keySet().containsAll(PLAN.groups());
+    return report.longestWriteGapMillis().keySet().containsAll(SYSTEM_PLAN.groups());
   }
 
   private static Path temporaryFolder() {
     try {
       return Files.createTempDirectory("alderyard-demo");
-    } catch (IOException none) {
-      throw new UncheckedIOException(none);
+    } catch (IOException failure) {
+      throw new UncheckedIOException(failure);
     }
   }
 
-  private static void delete(Path folder) {
+  private static void deleteRecursively(Path folder) {
     try (Stream<Path> files = Files.walk(folder)) {
       for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
         Files.delete(file);
       }
-    } catch (IOException left) {
-      throw new UncheckedIOException(left);
+    } catch (IOException failure) {
+      throw new UncheckedIOException(failure);
     }
   }
 }
--- a/alderyard-cli/src/main/java/org/alderyard/cli/demo/package-info.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/demo/package-info.java
@@ -1,2 +1,2 @@
-/** The demonstration: both workloads on a small local system, and the death of a primary. */
+/** Demonstration: both workloads on a small local system during the failover of a primary. */
 package org.alderyard.cli.demo;
