--- a/alderyard-cli/src/main/java/org/alderyard/cli/prove/Experiment.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/prove/Experiment.java
@@ -20,34 +20,34 @@
 import org.alderyard.testkit.history.Operation.Result;
 import org.alderyard.testkit.history.Violation.Promise;
 
-/** Puts load on a system while faults strike it, and counts the broken promises. */
+/** Generates load on a system, injects faults one after the other, and counts violations. */
 final class Experiment {
-  private static final int KEYS = 150;
+  private static final int KEY_COUNT = 150;
   private static final int TRANSACTION_CALLERS = 4;
-  private static final Duration DEADLINE = Duration.ofSeconds(6);
-  private static final Duration SETTLE = Duration.ofMillis(1_500);
+  private static final Duration REQUEST_DEADLINE = Duration.ofSeconds(6);
+  private static final Duration RECOVERY_PAUSE = Duration.ofMillis(1_500);
 
   private final LocalSystem system;
   private final Duration duration;
   private final int ratePerSecond;
   private final long seed;
-  private final Supplier<Fault> schedule;
+  private final Supplier<Fault> nextFault;
   private final Consumer<String> progress;
   private final MonotonicClock clock = MonotonicClock.system();
-  private final Map<String, Integer> faults = new TreeMap<>();
+  private final Map<String, Integer> faultCounts = new TreeMap<>();
 
   Experiment(
       LocalSystem system,
       Duration duration,
       int ratePerSecond,
       long seed,
-      Supplier<Fault> schedule,
+      Supplier<Fault> nextFault,
       Consumer<String> progress) {
     this.system = system;
     this.duration = duration;
     this.ratePerSecond = ratePerSecond;
     this.seed = seed;
-    this.schedule = schedule;
+    this.nextFault = nextFault;
     this.progress = progress;
   }
 
@@ -70,21 +70,21 @@
             mix,
             ratePerSecond,
             duration,
-            KEYS,
+            KEY_COUNT,
             seed * 10 + number,
-            DEADLINE);
+            REQUEST_DEADLINE);
     return CompletableFuture.supplyAsync(() -> new LoadRun(plan, clock, line -> {}).run());
   }
 
   private void injectFaults(FaultContext context) {
     long startMillis = clock.nowMillis();
     while (clock.nowMillis() - startMillis < duration.toMillis()) {
-      Fault fault = schedule.get();
+      Fault fault = nextFault.get();
       progress.accept(
           String.format("%6.1f s  %s", (clock.nowMillis() - startMillis) / 1e3, fault.name()));
       fault.inject(system, context);
-      faults.merge(fault.name(), 1, Integer::sum);
-      context.last(SETTLE);
+      faultCounts.merge(fault.name(), 1, Integer::sum);
+      context.sleep(RECOVERY_PAUSE);
     }
   }
 
@@ -92,73 +92,73 @@
       List<LoadReport> loads, TransactionLoad.Result transactions, FaultContext context) {
     List<PromiseRow> rows = new ArrayList<>();
     rows.add(
-        row(
+        toRow(
             loads,
             "a session reads its own writes on any proxy",
-            "every read of a session goes through another proxy than the one before",
+            "each read of a session goes through a different proxy than the previous read",
             count(loads, o -> ok(o, Kind.READ) && o.maxStalenessMillis().isEmpty()),
             Promise.READ_YOUR_WRITES,
             Promise.MONOTONIC_READS));
     rows.add(
-        row(
+        toRow(
             loads,
             "no write is acknowledged by a replaced primary",
-            "acknowledged writes are looked for after kills, pauses and cuts of primaries",
+            "acknowledged writes are verified after primaries are killed, paused and cut off",
             count(loads, o -> ok(o, Kind.APPEND)),
             Promise.NO_WRITE_LOST));
     rows.add(
         new PromiseRow(
             "statements of two transactions never mix",
-            "transactions on shared lists, each request through another proxy",
+            "transactions on shared lists, each request through a different proxy",
             transactions.begun(),
             transactions.broken()));
     rows.add(
-        row(
+        toRow(
             loads,
             "each caller gets the whole answer to its own request",
-            "answers are lost, late, and come from servers that wake up",
+            "responses are lost, delayed, or sent by servers that resume after a pause",
             count(loads, o -> ok(o, Kind.READ)),
             Promise.OWN_ANSWER));
     rows.add(
-        row(
+        toRow(
             loads,
             "a request refused as not run did not run",
-            "the values of refused writes are looked for",
+            "the final lists are searched for the values of refused writes",
             count(loads, o -> o.kind() == Kind.APPEND && o.result() == Result.NOT_RUN),
             Promise.NOT_RUN_DID_NOT_RUN));
     rows.add(
-        row(
+        toRow(
             loads,
             "a write that may not be repeated runs at most once",
-            "writes are sent again through other proxies after lost answers and dead proxies",
+            "writes are resent through other proxies after lost responses and killed proxies",
             count(loads, o -> o.kind() == Kind.APPEND),
             Promise.NO_WRITE_DOUBLED));
     rows.add(
         new PromiseRow(
             "a leaving server gets no new work after 2 s",
-            "a replica announces that it leaves, its statements are counted",
+            "a replica announces that it leaves, and its statements are counted",
             context.leavingServer.attempts(),
             context.leavingServer.violations()));
     rows.add(
         new PromiseRow(
             "a graceful shutdown cuts no request in flight",
-            "callers send to a proxy while it is asked to end",
+            "callers send requests to a proxy during its shutdown",
             context.gracefulShutdown.attempts(),
             context.gracefulShutdown.violations()));
     rows.add(
         new PromiseRow(
             "an accepted ticket is in force everywhere within 9 s, for good",
-            "storms, two operators with one number, dead and paused control hosts",
+            "ticket bursts, conflicting ticket numbers, killed and paused control hosts",
             context.tickets.attempts(),
             context.tickets.violations()));
     rows.add(
-        row(
+        toRow(
             loads,
             "a read that accepts an age gets no older data",
-            "replicas lag",
+            "replicas apply log entries with a lag",
             count(loads, o -> ok(o, Kind.READ) && o.maxStalenessMillis().isPresent()),
             Promise.BOUNDED_STALENESS));
-    return new PromiseReport(rows, faults, notes(loads, transactions));
+    return new PromiseReport(rows, faultCounts, notes(loads, transactions));
   }
 
   private static List<String> notes(List<LoadReport> loads, TransactionLoad.Result transactions) {
@@ -175,18 +175,22 @@
   }
 
   private static long count(
-      List<LoadReport> loads, java.util.function.Predicate<Operation> counted) {
-    return loads.stream().flatMap(load -> load.operations().stream()).filter(counted).count();
+      List<LoadReport> loads, java.util.function.Predicate<Operation> predicate) {
+    return loads.stream().flatMap(load -> load.operations().stream()).filter(predicate).count();
   }
 
-  private static PromiseRow row(
-      List<LoadReport> loads, String promise, String attack, long attempts, Promise... checked) {
-    List<Promise> promises = List.of(checked);
+  private static PromiseRow toRow(
+      List<LoadReport> loads,
+      String promise,
+      String attackDescription,
+      long attempts,
+      Promise... checkedPromises) {
+    List<Promise> promiseList = List.of(checkedPromises);
     long violations =
         loads.stream()
             .flatMap(load -> load.violations().stream())
-            .filter(violation -> promises.contains(violation.promise()))
+            .filter(violation -> promiseList.contains(violation.promise()))
             .count();
-    return new PromiseRow(promise, attack, attempts, violations);
+    return new PromiseRow(promise, attackDescription, attempts, violations);
   }
 }
--- a/alderyard-cli/src/main/java/org/alderyard/cli/prove/Fault.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/prove/Fault.java
@@ -4,28 +4,28 @@
 import org.alderyard.cli.local.LocalSystem;
 
 /**
- * One attack on a local system.
+ * A named fault that can be injected into a local system.
  *
- * @param name the name for the report
- * @param attack does the harm, lets it last, and mends it before it returns
+ * @param name name in the report
+ * @param injection injects the fault and repairs the system before it returns
  */
-record Fault(String name, Attack attack) {
+record Fault(String name, Injection injection) {
 
-  /** Checks. */
+  /** Rejects null components. */
   Fault {
     Objects.requireNonNull(name);
-    Objects.requireNonNull(attack);
+    Objects.requireNonNull(injection);
   }
 
   void inject(LocalSystem system, FaultContext context) {
-    attack.inject(system, context);
+    injection.inject(system, context);
   }
 
-  /** What an attack does. */
+  /** The procedure that injects a fault. */
   @FunctionalInterface
-  interface Attack {
+  interface Injection {
 
-    /** Does the harm, lets it last, and mends it. */
+    /** Injects the fault, waits while it lasts, and repairs the system. */
     void inject(LocalSystem system, FaultContext context);
   }
 }
--- a/alderyard-cli/src/main/java/org/alderyard/cli/prove/FaultContext.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/prove/FaultContext.java
@@ -7,24 +7,24 @@
 import java.util.random.RandomGenerator;
 import org.alderyard.common.time.MonotonicClock;
 
-/** What faults share: chance, pauses, and the counts of what they checked on their own. */
+/** Random choices, pauses and check counts that fault injections share. */
 final class FaultContext {
   private final RandomGenerator random;
   private final MonotonicClock clock;
-  final Tally leavingServer;
-  final Tally gracefulShutdown;
-  final Tally tickets;
+  final CheckCounter leavingServer;
+  final CheckCounter gracefulShutdown;
+  final CheckCounter tickets;
 
   FaultContext(RandomGenerator random, MonotonicClock clock) {
-    this(random, clock, new Tally(), new Tally(), new Tally());
+    this(random, clock, new CheckCounter(), new CheckCounter(), new CheckCounter());
   }
 
   private FaultContext(
       RandomGenerator random,
       MonotonicClock clock,
-      Tally leavingServer,
-      Tally gracefulShutdown,
-      Tally tickets) {
+      CheckCounter leavingServer,
+      CheckCounter gracefulShutdown,
+      CheckCounter tickets) {
     this.random = random;
     this.clock = clock;
     this.leavingServer = leavingServer;
@@ -32,16 +32,18 @@
     this.tickets = tickets;
   }
 
-  /** Returns a context with a chance of its own, for a fault that comes beside another one. */
-  FaultContext beside(RandomGenerator ownRandom) {
-    return new FaultContext(ownRandom, clock, leavingServer, gracefulShutdown, tickets);
+  /**
+   * Returns a context with a separate random generator and shared counts, for concurrent faults.
+   */
+  FaultContext withRandom(RandomGenerator otherRandom) {
+    return new FaultContext(otherRandom, clock, leavingServer, gracefulShutdown, tickets);
   }
 
-  <T> T oneOf(List<T> choices) {
+  <T> T choose(List<T> choices) {
     return choices.get(random.nextInt(choices.size()));
   }
 
-  int number(int bound) {
+  int nextInt(int bound) {
     return random.nextInt(bound);
   }
 
@@ -49,18 +51,18 @@
     return clock.nowMillis();
   }
 
-  void last(Duration duration) {
+  void sleep(Duration duration) {
     LockSupport.parkNanos(duration.toNanos());
   }
 
-  /** Attempts and violations of one promise. */
-  static final class Tally {
+  /** Counts of the attempts and violations of one promise; thread-safe. */
+  static final class CheckCounter {
     private final AtomicInteger attempts = new AtomicInteger();
     private final AtomicInteger violations = new AtomicInteger();
 
-    void record(boolean kept) {
+    void record(boolean passed) {
       attempts.incrementAndGet();
-      if (!kept) {
+      if (!passed) {
         violations.incrementAndGet();
       }
     }
--- a/alderyard-cli/src/main/java/org/alderyard/cli/prove/FaultSchedule.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/prove/FaultSchedule.java
@@ -5,23 +5,23 @@
 import java.util.List;
 import java.util.Random;
 
-/** The seeded order of faults: every kind once in each round, in another order each round. */
+/** A seeded sequence of faults: each round contains every fault once, in random order. */
 final class FaultSchedule {
-  private final Random shuffle;
-  // Kept over the rounds: ticket numbers are used once.
-  private final List<Fault> tickets = TicketFaults.all();
+  private final Random random;
+  // Shared by all rounds, since each ticket number may be used only once.
+  private final List<Fault> ticketFaults = TicketFaults.all();
   private final List<Fault> round = new ArrayList<>();
 
   FaultSchedule(long seed) {
-    shuffle = new Random(seed);
+    random = new Random(seed);
   }
 
   Fault next() {
     if (round.isEmpty()) {
       round.addAll(ServerFaults.all());
       round.addAll(HostFaults.all());
-      round.addAll(tickets);
-      Collections.shuffle(round, shuffle);
+      round.addAll(ticketFaults);
+      Collections.shuffle(round, random);
     }
     return round.remove(0);
   }
--- a/alderyard-cli/src/main/java/org/alderyard/cli/prove/HostFaults.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/prove/HostFaults.java
@@ -10,12 +10,12 @@
 import org.alderyard.cli.local.LocalSystem;
 import org.alderyard.common.http.Json;
 
-/** Attacks on hosts of the system. */
+/** Process and disk faults of hosts. */
 final class HostFaults {
-  private static final Duration SHORT = Duration.ofMillis(2_500);
-  private static final Duration LONG = Duration.ofMillis(6_000);
-  private static final Duration BEFORE_STOP = Duration.ofMillis(500);
-  private static final int STOP_CALLERS = 4;
+  private static final Duration DOWNTIME = Duration.ofMillis(2_500);
+  private static final Duration PAUSE_DURATION = Duration.ofMillis(6_000);
+  private static final Duration LOAD_BEFORE_STOP = Duration.ofMillis(500);
+  private static final int CALLERS_DURING_STOP = 4;
 
   private HostFaults() {}
 
@@ -28,60 +28,60 @@
         new Fault("shut a proxy down in good order", HostFaults::stopProxy));
   }
 
-  private static int someProxy(LocalSystem system, FaultContext context) {
+  private static int randomProxy(LocalSystem system, FaultContext context) {
     int control = system.plan().controlHosts();
-    return control + context.number(system.plan().hosts() - control);
+    return control + context.nextInt(system.plan().hosts() - control);
   }
 
-  private static int someControl(LocalSystem system, FaultContext context) {
-    return context.number(system.plan().controlHosts());
+  private static int randomControlHost(LocalSystem system, FaultContext context) {
+    return context.nextInt(system.plan().controlHosts());
   }
 
-  /** A proxy dies in the middle of requests and transactions. */
+  /** Kills a proxy during requests and transactions, and restarts it. */
   private static void killProxy(LocalSystem system, FaultContext context) {
-    killAndStart(system, context, someProxy(system, context));
+    killAndRestart(system, context, randomProxy(system, context));
   }
 
-  /** A control host dies and returns from its disk. */
+  /** Kills a control host and restarts it with its existing disk. */
   private static void killControl(LocalSystem system, FaultContext context) {
-    killAndStart(system, context, someControl(system, context));
+    killAndRestart(system, context, randomControlHost(system, context));
   }
 
-  private static void killAndStart(LocalSystem system, FaultContext context, int host) {
+  private static void killAndRestart(LocalSystem system, FaultContext context, int host) {
     system.killHost(host);
-    context.last(SHORT);
+    context.sleep(DOWNTIME);
     system.startHost(host);
   }
 
-  /** A control host sits silent for a while and returns, believing that nothing changed. */
+  /** Suspends a control host, which resumes with outdated state. */
   private static void pauseControl(LocalSystem system, FaultContext context) {
-    String host = LocalSystem.hostName(someControl(system, context));
+    String host = LocalSystem.hostName(randomControlHost(system, context));
     system.pause(host);
-    context.last(LONG);
+    context.sleep(PAUSE_DURATION);
     system.resume(host);
   }
 
-  /** A control host loses its disk. */
+  /** Kills a control host and restarts it with an empty disk. */
   private static void wipeControl(LocalSystem system, FaultContext context) {
-    int host = someControl(system, context);
+    int host = randomControlHost(system, context);
     system.killHost(host);
     system.deleteHostData(host);
     system.startHost(host);
   }
 
   /**
-   * A proxy is asked to end while requests are in flight on it: each of them must get its answer. A
-   * connection that was refused, or a request that was refused as not run, is no cut request.
+   * Shuts a proxy down while it has requests in flight, each of which must receive a response. A
+   * refused connection and a request refused as not run don't count as violations.
    */
   private static void stopProxy(LocalSystem system, FaultContext context) {
-    int host = someProxy(system, context);
+    int host = randomProxy(system, context);
     InetSocketAddress port = system.callerPorts().get(host);
     AtomicBoolean stopping = new AtomicBoolean();
     List<Thread> callers = new ArrayList<>();
-    for (int caller = 0; caller < STOP_CALLERS; caller++) {
+    for (int caller = 0; caller < CALLERS_DURING_STOP; caller++) {
       callers.add(start(() -> callUntilRefused(system.http(), port, context, stopping)));
     }
-    context.last(BEFORE_STOP);
+    context.sleep(LOAD_BEFORE_STOP);
     system.stopHost(host);
     stopping.set(true);
     callers.forEach(HostFaults::join);
@@ -94,11 +94,11 @@
         Json.object().put("key", "warm-up-1").put("kind", "read").put("statement", "get");
     String path = "/v1/pools/" + LocalSystem.POOLS.get(0) + "/statements";
     while (!stopping.get()) {
-      LocalHttp.PostResult sent = http.postDetectingRefusal(port, path, read);
-      if (sent.refused()) {
+      LocalHttp.PostResult result = http.postDetectingRefusal(port, path, read);
+      if (result.refused()) {
         return;
       }
-      context.gracefulShutdown.record(sent.response().isPresent());
+      context.gracefulShutdown.record(result.response().isPresent());
     }
   }
 
@@ -112,7 +112,7 @@
   private static void join(Thread thread) {
     try {
       thread.join();
-    } catch (InterruptedException stopped) {
+    } catch (InterruptedException interrupted) {
       Thread.currentThread().interrupt();
     }
   }
--- a/alderyard-cli/src/main/java/org/alderyard/cli/prove/LinkFaults.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/prove/LinkFaults.java
@@ -5,13 +5,13 @@
 import org.alderyard.cli.local.LocalSystem;
 import org.alderyard.cli.local.LoopbackLink;
 
-/** Attacks on the network between hosts, and between hosts and servers. */
+/** Faults of the network between hosts, and between hosts and servers. */
 final class LinkFaults {
-  /** Longer than requests between hosts wait, shorter than leases last. */
-  private static final Duration CUT = Duration.ofMillis(2_500);
+  /** Longer than the timeout of requests between hosts, and shorter than the duration of leases. */
+  private static final Duration PARTITION_DURATION = Duration.ofMillis(2_500);
 
-  private static final Duration SLOW = Duration.ofMillis(3_000);
-  private static final long DELAY_MILLIS = 120;
+  private static final Duration DELAY_DURATION = Duration.ofMillis(3_000);
+  private static final long MAX_DELAY_MILLIS = 120;
 
   private LinkFaults() {}
 
@@ -23,21 +23,22 @@
         new Fault("break the connections to a server", (s, c) -> serverLink(s, c).reset()),
         new Fault("open connections to a host go silent", (s, c) -> hostLink(s, c).blackhole()),
         new Fault("open connections to a server go silent", (s, c) -> serverLink(s, c).blackhole()),
-        new Fault("cut a host off, one way", (s, c) -> cut(hostLink(s, c), c, false)),
-        new Fault("cut a host's answers off", (s, c) -> cut(hostLink(s, c), c, true)),
-        new Fault("cut a primary off", (s, c) -> cut(primaryLink(s, c), c, c.number(2) == 0)));
+        new Fault("cut a host off, one way", (s, c) -> partition(hostLink(s, c), c, false)),
+        new Fault("cut a host's answers off", (s, c) -> partition(hostLink(s, c), c, true)),
+        new Fault(
+            "cut a primary off", (s, c) -> partition(primaryLink(s, c), c, c.nextInt(2) == 0)));
   }
 
   private static LoopbackLink hostLink(LocalSystem system, FaultContext context) {
-    return context.oneOf(system.hostLinks());
+    return context.choose(system.hostLinks());
   }
 
   private static LoopbackLink serverLink(LocalSystem system, FaultContext context) {
-    return system.serverLink(context.oneOf(system.serverNames())).orElseThrow();
+    return system.serverLink(context.choose(system.serverNames())).orElseThrow();
   }
 
   private static LoopbackLink primaryLink(LocalSystem system, FaultContext context) {
-    String group = context.oneOf(system.plan().groups());
+    String group = context.choose(system.plan().groups());
     return system
         .primaryOf(group)
         .flatMap(system::serverLink)
@@ -45,14 +46,14 @@
   }
 
   private static void delay(LoopbackLink link, FaultContext context) {
-    link.setDelay(1 + context.number((int) DELAY_MILLIS));
-    context.last(SLOW);
+    link.setDelay(1 + context.nextInt((int) MAX_DELAY_MILLIS));
+    context.sleep(DELAY_DURATION);
     link.setDelay(0);
   }
 
-  private static void cut(LoopbackLink link, FaultContext context, boolean answers) {
-    link.hold(!answers, answers);
-    context.last(CUT);
+  private static void partition(LoopbackLink link, FaultContext context, boolean fromTarget) {
+    link.hold(!fromTarget, fromTarget);
+    context.sleep(PARTITION_DURATION);
     link.hold(false, false);
   }
 }
--- a/alderyard-cli/src/main/java/org/alderyard/cli/prove/OverlapSchedule.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/prove/OverlapSchedule.java
@@ -8,43 +8,44 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The seeded order of a soak: faults of processes one after the other, and beside most of them one
- * of the network, so that a host that starts again meets a cut, or a lost primary a silent
+ * A seeded sequence of faults for soak runs. Most process faults overlap with a network fault, for
+ * example the restart of a host with a partition, or the loss of a primary with an unresponsive
  * connection.
  */
 final class OverlapSchedule {
-  /** Of how many faults of processes one comes alone. */
-  private static final int ALONE = 4;
+  /** One in this many process faults, on average, is injected without a network fault. */
+  private static final int SINGLE_FAULT_ONE_IN = 4;
 
-  private final FaultSchedule processes;
+  private final FaultSchedule processFaults;
   private final Random random;
-  private final List<Fault> links = new ArrayList<>();
+  private final List<Fault> linkFaults = new ArrayList<>();
 
   OverlapSchedule(long seed) {
-    processes = new FaultSchedule(seed);
+    processFaults = new FaultSchedule(seed);
     random = new Random(~seed);
   }
 
   Fault next() {
-    Fault process = processes.next();
-    if (random.nextInt(ALONE) == 0) {
-      return process;
+    Fault processFault = processFaults.next();
+    if (random.nextInt(SINGLE_FAULT_ONE_IN) == 0) {
+      return processFault;
     }
-    if (links.isEmpty()) {
-      links.addAll(LinkFaults.all());
-      Collections.shuffle(links, random);
+    if (linkFaults.isEmpty()) {
+      linkFaults.addAll(LinkFaults.all());
+      Collections.shuffle(linkFaults, random);
     }
-    Fault link = links.remove(0);
-    // A chance of its own, so that a seed gives the same faults whichever of the two is faster.
-    long chance = random.nextLong();
+    Fault linkFault = linkFaults.remove(0);
+    // With a shared generator, the faults of a seed would depend on the timing of the two threads.
+    long linkSeed = random.nextLong();
     return new Fault(
-        process.name() + " + " + link.name(),
+        processFault.name() + " + " + linkFault.name(),
         (system, context) -> {
-          CompletableFuture<Void> beside =
+          CompletableFuture<Void> linkInjection =
               CompletableFuture.runAsync(
-                  () -> link.inject(system, context.beside(new SplittableRandom(chance))));
-          process.inject(system, context);
-          beside.join();
+                  () ->
+                      linkFault.inject(system, context.withRandom(new SplittableRandom(linkSeed))));
+          processFault.inject(system, context);
+          linkInjection.join();
         });
   }
 }
--- a/alderyard-cli/src/main/java/org/alderyard/cli/prove/PromiseReport.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/prove/PromiseReport.java
@@ -6,21 +6,21 @@
 import org.alderyard.common.http.Json;
 
 /**
- * The result of an experiment.
+ * The results of an experiment.
  *
- * @param rows the promises
- * @param faults how often each fault was injected
- * @param notes what else a reader needs, as what stayed unchecked
+ * @param rows results of the checks, by promise
+ * @param faults number of injections of each fault
+ * @param notes reasons why the report is incomplete, for example unchecked keys
  */
 record PromiseReport(List<PromiseRow> rows, Map<String, Integer> faults, List<String> notes) {
 
-  /** Returns whether no promise was seen broken and nothing was left unchecked. */
-  boolean unbroken() {
+  /** Returns whether the report has no violations and no notes about unchecked data. */
+  boolean isClean() {
     return rows.stream().allMatch(row -> row.violations() == 0) && notes.isEmpty();
   }
 
-  /** Returns whether every promise was attacked at least once; one that was not is unproved. */
-  boolean allAttacked() {
+  /** Returns whether every promise was tested at least once; an untested promise is unproved. */
+  boolean allTested() {
     return rows.stream().allMatch(row -> row.attempts() > 0);
   }
 
--- a/alderyard-cli/src/main/java/org/alderyard/cli/prove/PromiseRow.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/prove/PromiseRow.java
@@ -1,11 +1,11 @@
 package org.alderyard.cli.prove;
 
 /**
- * One promise and how it fared.
+ * The test result of one promise.
  *
- * @param promise the promise
- * @param attack how it was attacked
- * @param attempts how often it could have been broken
- * @param violations how often it was
+ * @param promise description of the promise
+ * @param attack description of the conditions under which the promise was tested
+ * @param attempts number of checks
+ * @param violations number of failed checks
  */
 record PromiseRow(String promise, String attack, long attempts, long violations) {}
--- a/alderyard-cli/src/main/java/org/alderyard/cli/prove/ProveCommand.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/prove/ProveCommand.java
@@ -17,23 +17,25 @@
 import org.apache.commons.cli.Options;
 
 /**
- * Attacks a local system with a seeded schedule of faults and checks the product's promises.
+ * Injects a seeded sequence of faults into a local system and checks the promises of the product.
  *
  * <p>Example: {@code alderyard prove --seconds 300 --seed 7}
  */
 public final class ProveCommand implements Command {
   private static final String ALLOW_UNPROVED = "allow-unproved";
-  private static final Attack.Presets PRESETS = new Attack.Presets(6, 60, 60, 3, false);
+  private static final ExperimentPlan.Defaults DEFAULTS =
+      new ExperimentPlan.Defaults(6, 60, 60, 3, false);
   private static final CommandSpec SPEC =
       new CommandSpec(
           "prove",
-          "attack a small system here with faults and check every promise",
+          "inject faults into a small local system and check every promise",
           List.of(),
-          PRESETS
+          DEFAULTS
               .addTo(new Options())
-              .addOption(valued("seed", "N", "start of all random choices; default 1"))
+              .addOption(valued("seed", "N", "seed of the random number generators; default 1"))
               .addOption(
-                  flag(ALLOW_UNPROVED, "a run too short to attack every promise is no failure"))
+                  flag(
+                      ALLOW_UNPROVED, "succeed even if the run is too short to test every promise"))
               .addOption(flag(CommonOptions.JSON, "print the report as JSON")));
 
   @Override
@@ -44,20 +46,20 @@
   @Override
   public ExitCode run(Invocation invocation) {
     long seed = invocation.numberOption("seed", 1, 0, Integer.MAX_VALUE);
-    Attack attack = Attack.read(invocation, PRESETS);
+    ExperimentPlan plan = ExperimentPlan.read(invocation, DEFAULTS);
     try {
       Path folder = Files.createTempDirectory("alderyard-prove");
       invocation.err().println("settings, data and logs: " + folder);
       PromiseReport report =
-          attack.run(folder, seed, new FaultSchedule(seed)::next, invocation.err()::println);
+          plan.run(folder, seed, new FaultSchedule(seed)::next, invocation.err()::println);
       invocation
           .out()
           .println(
               invocation.hasOption(CommonOptions.JSON)
                   ? Json.pretty(report.toJson())
                   : report.toText());
-      boolean attacked = report.allAttacked() || invocation.hasOption(ALLOW_UNPROVED);
-      return report.unbroken() && attacked ? ExitCode.OK : ExitCode.FAILED;
+      boolean tested = report.allTested() || invocation.hasOption(ALLOW_UNPROVED);
+      return report.isClean() && tested ? ExitCode.OK : ExitCode.FAILED;
     } catch (IOException failure) {
       throw new UncheckedIOException(failure);
     }
--- a/alderyard-cli/src/main/java/org/alderyard/cli/prove/ServerFaults.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/prove/ServerFaults.java
@@ -7,13 +7,13 @@
 import org.alderyard.cli.local.LocalSystem;
 import org.alderyard.common.http.Json;
 
-/** Attacks on backend servers. */
+/** Faults of backend servers. */
 final class ServerFaults {
-  private static final Duration SHORT = Duration.ofMillis(2_500);
+  private static final Duration FAULT_DURATION = Duration.ofMillis(2_500);
   private static final Duration LEAVING_GRACE = Duration.ofMillis(2_000);
-  private static final Duration LEAVING_WATCH = Duration.ofMillis(1_500);
-  private static final int DROP_EVERY = 7;
-  private static final int FAR_LAG_MILLIS = 1_500;
+  private static final Duration LEAVING_OBSERVATION = Duration.ofMillis(1_500);
+  private static final int DROP_EVERY_NTH = 7;
+  private static final int HIGH_LAG_MILLIS = 1_500;
 
   private ServerFaults() {}
 
@@ -22,73 +22,73 @@
         new Fault("kill a primary, start it again", ServerFaults::killPrimary),
         new Fault("pause a primary, let it wake up", ServerFaults::pausePrimary),
         new Fault("cut a primary off, let it return", ServerFaults::cutPrimary),
-        new Fault("lose every 7th answer of a primary", ServerFaults::loseAnswers),
+        new Fault("lose every 7th answer of a primary", ServerFaults::dropResponses),
         new Fault("let all servers lag by 1.5 s", ServerFaults::lagAll),
-        new Fault("let a replica leave, start it again", ServerFaults::leave));
+        new Fault("let a replica leave, start it again", ServerFaults::leaveAndRestart));
   }
 
-  private static String somePrimary(LocalSystem system, FaultContext context) {
-    return system.awaitPrimaryOf(context.oneOf(system.plan().groups()));
+  private static String randomPrimary(LocalSystem system, FaultContext context) {
+    return system.awaitPrimaryOf(context.choose(system.plan().groups()));
   }
 
-  /** A primary dies and comes back with the log as its death left it. */
+  /** Kills a primary and restarts it with its existing log. */
   private static void killPrimary(LocalSystem system, FaultContext context) {
-    String primary = somePrimary(system, context);
+    String primary = randomPrimary(system, context);
     system.killServer(primary);
-    context.last(SHORT);
+    context.sleep(FAULT_DURATION);
     system.restartServer(primary);
   }
 
-  /** A primary stands still, is replaced, and wakes up with answers to send. */
+  /** Suspends a primary, which is replaced and resumes with unsent responses. */
   private static void pausePrimary(LocalSystem system, FaultContext context) {
-    String primary = somePrimary(system, context);
+    String primary = randomPrimary(system, context);
     system.pause(primary);
-    context.last(SHORT);
+    context.sleep(FAULT_DURATION);
     system.resume(primary);
   }
 
-  /** A primary is cut off from everybody and returns. */
+  /** Makes a primary unreachable for all hosts and servers for a limited time. */
   private static void cutPrimary(LocalSystem system, FaultContext context) {
-    String primary = somePrimary(system, context);
+    String primary = randomPrimary(system, context);
     system.switchServer(primary, Json.object().put("unreachable", true));
-    context.last(SHORT);
+    context.sleep(FAULT_DURATION);
     system.switchServer(primary, Json.object().put("unreachable", false));
   }
 
-  /** Answers are lost after their statements ran: the outcome is in doubt. */
-  private static void loseAnswers(LocalSystem system, FaultContext context) {
-    String primary = somePrimary(system, context);
-    system.switchServer(primary, Json.object().put("dropEveryNth", DROP_EVERY));
-    context.last(SHORT);
+  /** Drops responses after statements ran, so that the outcomes are unknown. */
+  private static void dropResponses(LocalSystem system, FaultContext context) {
+    String primary = randomPrimary(system, context);
+    system.switchServer(primary, Json.object().put("dropEveryNth", DROP_EVERY_NTH));
+    context.sleep(FAULT_DURATION);
     system.switchServer(primary, Json.object().put("dropEveryNth", 0));
   }
 
-  /** All replicas fall behind. */
+  /** Increases the apply lag of all servers, so that every replica falls behind. */
   private static void lagAll(LocalSystem system, FaultContext context) {
-    lag(system, FAR_LAG_MILLIS);
-    context.last(SHORT);
-    lag(system, system.plan().applyLagMillis());
+    setLag(system, HIGH_LAG_MILLIS);
+    context.sleep(FAULT_DURATION);
+    setLag(system, system.plan().applyLagMillis());
   }
 
-  private static void lag(LocalSystem system, int millis) {
+  private static void setLag(LocalSystem system, int millis) {
     JsonNode switches = Json.object().put("applyLagMillis", millis);
     system.serverNames().forEach(server -> system.switchServer(server, switches));
   }
 
-  /** A server announces that it leaves; two seconds later it must get no new statement. */
-  private static void leave(LocalSystem system, FaultContext context) {
-    String group = context.oneOf(system.plan().groups());
+  /** Makes a replica announce that it leaves; after 2 s it must receive no new statements. */
+  private static void leaveAndRestart(LocalSystem system, FaultContext context) {
+    String group = context.choose(system.plan().groups());
     String primary = system.awaitPrimaryOf(group);
     String replica =
-        context.oneOf(
+        context.choose(
             system.serverNames().stream()
                 .filter(name -> name.startsWith(group) && !name.equals(primary))
                 .toList());
     system.switchServer(replica, Json.object().put("leave", true));
-    context.last(LEAVING_GRACE);
-    Optional<Integer> before = statements(system, replica);
-    context.last(LEAVING_WATCH);
-    Optional<Integer> after = statements(system, replica);
+    context.sleep(LEAVING_GRACE);
+    Optional<Integer> before = statementCount(system, replica);
+    context.sleep(LEAVING_OBSERVATION);
+    Optional<Integer> after = statementCount(system, replica);
     if (before.isPresent() && after.isPresent()) {
       context.leavingServer.record(before.equals(after));
     }
@@ -96,7 +96,7 @@
     system.restartServer(replica);
   }
 
-  private static Optional<Integer> statements(LocalSystem system, String server) {
+  private static Optional<Integer> statementCount(LocalSystem system, String server) {
     return system
         .switchServer(server, Json.object())
         .map(answer -> answer.path("statements").asInt());
--- a/alderyard-cli/src/main/java/org/alderyard/cli/prove/SoakCommand.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/prove/SoakCommand.java
@@ -19,22 +19,24 @@
 import org.apache.commons.cli.Options;
 
 /**
- * Attacks one local system after the other, each with its own seed, and sums up what was checked.
+ * Runs an experiment on a new local system for each seed, and adds up the results.
  *
- * <p>Hosts and servers are reached through links, so that networks fail as well as processes. The
- * logs of a seed that failed are kept. Example: {@code alderyard soak --first-seed 1 --seeds 50}
+ * <p>Connections pass through links, so that network faults can be injected as well as process
+ * faults. The logs of failed seeds are kept. Example: {@code alderyard soak --first-seed 1 --seeds
+ * 50}
  */
 public final class SoakCommand implements Command {
-  private static final Attack.Presets PRESETS = new Attack.Presets(4, 20, 30, 2, true);
+  private static final ExperimentPlan.Defaults DEFAULTS =
+      new ExperimentPlan.Defaults(4, 20, 30, 2, true);
   private static final CommandSpec SPEC =
       new CommandSpec(
           "soak",
-          "attack systems here with overlapping faults, seed after seed",
+          "inject overlapping faults into local systems, one system per seed",
           List.of(),
-          PRESETS
+          DEFAULTS
               .addTo(new Options())
               .addOption(valued("first-seed", "N", "the first seed; default 1"))
-              .addOption(valued("seeds", "N", "how many seeds, 1 to 10000; default 5")));
+              .addOption(valued("seeds", "N", "number of seeds, 1 to 10000; default 5")));
 
   @Override
   public CommandSpec spec() {
@@ -43,52 +45,53 @@
 
   @Override
   public ExitCode run(Invocation invocation) {
-    long first = invocation.numberOption("first-seed", 1, 0, Integer.MAX_VALUE);
-    long count = invocation.numberOption("seeds", 5, 1, 10_000);
-    Attack attack = Attack.read(invocation, PRESETS);
-    SoakReport soak = new SoakReport();
-    for (long seed = first; seed < first + count; seed++) {
-      attack(attack, seed, soak, invocation.err());
+    long firstSeed = invocation.numberOption("first-seed", 1, 0, Integer.MAX_VALUE);
+    long seedCount = invocation.numberOption("seeds", 5, 1, 10_000);
+    ExperimentPlan plan = ExperimentPlan.read(invocation, DEFAULTS);
+    SoakReport soakReport = new SoakReport();
+    for (long seed = firstSeed; seed < firstSeed + seedCount; seed++) {
+      runSeed(plan, seed, soakReport, invocation.err());
     }
-    invocation.out().println(soak.toText(first, count));
-    return soak.unbroken() ? ExitCode.OK : ExitCode.FAILED;
+    invocation.out().println(soakReport.toText(firstSeed, seedCount));
+    return soakReport.allPassed() ? ExitCode.OK : ExitCode.FAILED;
   }
 
-  private static void attack(Attack attack, long seed, SoakReport soak, PrintStream progress) {
+  private static void runSeed(
+      ExperimentPlan plan, long seed, SoakReport soakReport, PrintStream progress) {
     try {
       Path folder = Files.createTempDirectory("alderyard-soak-" + seed + "-");
-      Optional<String> failure = failure(attack, folder, seed, soak, progress);
+      Optional<String> failure = failure(plan, folder, seed, soakReport, progress);
       if (failure.isEmpty()) {
-        delete(folder);
+        deleteRecursively(folder);
       } else {
         Files.writeString(folder.resolve("report.txt"), failure.get());
-        soak.addFailure(seed, folder + System.lineSeparator() + failure.get());
+        soakReport.addFailure(seed, folder + System.lineSeparator() + failure.get());
       }
-      progress.println("seed " + seed + (failure.isEmpty() ? " kept" : " FAILED"));
+      progress.println("seed " + seed + (failure.isEmpty() ? " passed" : " FAILED"));
     } catch (IOException failure) {
       throw new UncheckedIOException(failure);
     }
   }
 
-  /** Returns what broke, or why the system could not be attacked. */
+  /** Returns the report or error of a failed experiment, or empty if the experiment passed. */
   private static Optional<String> failure(
-      Attack attack, Path folder, long seed, SoakReport soak, PrintStream progress)
+      ExperimentPlan plan, Path folder, long seed, SoakReport soakReport, PrintStream progress)
       throws IOException {
     try {
       PromiseReport report =
-          attack.run(
+          plan.run(
               folder,
               seed,
               new OverlapSchedule(seed)::next,
               line -> progress.println("seed " + seed + " " + line));
-      soak.add(report);
-      return report.unbroken() ? Optional.empty() : Optional.of(report.toText());
-    } catch (AlderyardException broken) {
-      return Optional.of(broken.getMessage());
+      soakReport.add(report);
+      return report.isClean() ? Optional.empty() : Optional.of(report.toText());
+    } catch (AlderyardException exception) {
+      return Optional.of(exception.getMessage());
     }
   }
 
-  private static void delete(Path folder) throws IOException {
+  private static void deleteRecursively(Path folder) throws IOException {
     try (Stream<Path> files = Files.walk(folder)) {
       for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
         Files.delete(file);
--- a/alderyard-cli/src/main/java/org/alderyard/cli/prove/TicketFaults.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/prove/TicketFaults.java
@@ -10,15 +10,15 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.alderyard.cli.local.LocalSystem;
 
-/** Attacks by operators: many tickets, the same number twice, tickets sent again. */
+/** Ticket load by operators: ticket bursts, conflicting ticket numbers, and resent tickets. */
 final class TicketFaults {
-  private static final String TICKET =
+  private static final String TICKET_TEMPLATE =
       """
       {"objects":[{"kind":"pool","name":"%s","groups":["group-1"],"maxStalenessMillis":%d}]}
       """;
-  private static final Duration IN_FORCE_LIMIT = Duration.ofSeconds(9);
-  private static final Duration POLL = Duration.ofMillis(50);
-  private static final int STORM = 15;
+  private static final Duration IN_FORCE_TIMEOUT = Duration.ofSeconds(9);
+  private static final Duration POLL_INTERVAL = Duration.ofMillis(50);
+  private static final int BURST_SIZE = 15;
 
   private TicketFaults() {}
 
@@ -27,60 +27,66 @@
     return List.of(
         new Fault(
             "two operators race with one ticket number",
-            (system, context) -> race(numbers.incrementAndGet(), system, context)),
-        new Fault("a storm of 15 tickets", (system, context) -> storm(numbers, system, context)));
+            (system, context) -> submitConflicting(numbers.incrementAndGet(), system, context)),
+        new Fault(
+            "a storm of 15 tickets", (system, context) -> submitBurst(numbers, system, context)));
   }
 
-  private static String pool(String name, int maxStalenessMillis) {
-    return TICKET.formatted(name, maxStalenessMillis);
+  private static String poolTicket(String name, int maxStalenessMillis) {
+    return TICKET_TEMPLATE.formatted(name, maxStalenessMillis);
   }
 
   private static Optional<JsonNode> put(LocalSystem system, int host, int number, String body) {
     return system.http().putAllowingError(system.operatorPort(host), "/v1/tickets/" + number, body);
   }
 
-  private static String code(Optional<JsonNode> answer) {
+  private static String errorCode(Optional<JsonNode> answer) {
     return answer.map(body -> body.path("error").path("code").asText("")).orElse("LOST");
   }
 
-  /** Two operators send one number with different content through two hosts at once. */
-  private static void race(int number, LocalSystem system, FaultContext context) {
+  /** Submits two tickets with the same number and different content concurrently. */
+  private static void submitConflicting(int number, LocalSystem system, FaultContext context) {
     int hosts = system.plan().hosts();
     CompletableFuture<Optional<JsonNode>> first =
         CompletableFuture.supplyAsync(
-            () -> put(system, context.number(hosts), number, pool("raced", 1)));
+            () -> put(system, context.nextInt(hosts), number, poolTicket("raced", 1)));
     CompletableFuture<Optional<JsonNode>> second =
         CompletableFuture.supplyAsync(
-            () -> put(system, context.number(hosts), number, pool("raced", 2)));
-    boolean bothAccepted = code(first.join()).isEmpty() && code(second.join()).isEmpty();
+            () -> put(system, context.nextInt(hosts), number, poolTicket("raced", 2)));
+    boolean bothAccepted = errorCode(first.join()).isEmpty() && errorCode(second.join()).isEmpty();
     context.tickets.record(!bothAccepted);
-    // Sent again after all: exactly one content may be the accepted one.
-    String firstAgain = code(settled(system, context, number, pool("raced", 1)));
-    String secondAgain = code(settled(system, context, number, pool("raced", 2)));
+    // After resending both tickets, exactly one of the contents must be accepted.
+    String firstAgain = errorCode(putUntilSettled(system, context, number, poolTicket("raced", 1)));
+    String secondAgain =
+        errorCode(putUntilSettled(system, context, number, poolTicket("raced", 2)));
     boolean oneConflict =
         firstAgain.equals("TICKET_CONFLICT") != secondAgain.equals("TICKET_CONFLICT");
     context.tickets.record(oneConflict);
   }
 
-  private static Optional<JsonNode> settled(
+  private static Optional<JsonNode> putUntilSettled(
       LocalSystem system, FaultContext context, int number, String body) {
     for (int attempt = 0; attempt < 100; attempt++) {
-      Optional<JsonNode> answer = put(system, context.number(system.plan().hosts()), number, body);
-      if (code(answer).isEmpty() || code(answer).equals("TICKET_CONFLICT")) {
+      Optional<JsonNode> answer = put(system, context.nextInt(system.plan().hosts()), number, body);
+      if (errorCode(answer).isEmpty() || errorCode(answer).equals("TICKET_CONFLICT")) {
         return answer;
       }
-      context.last(POLL);
+      context.sleep(POLL_INTERVAL);
     }
     return Optional.empty();
   }
 
-  /** Many tickets in a row; each must be on every host within seconds, and no host goes back. */
-  private static void storm(AtomicInteger numbers, LocalSystem system, FaultContext context) {
+  /**
+   * Submits a burst of tickets. The last accepted ticket must reach every host within 9 s, and no
+   * host may return to an older ticket.
+   */
+  private static void submitBurst(AtomicInteger numbers, LocalSystem system, FaultContext context) {
     int staleness = 0;
-    for (int ticket = 0; ticket < STORM; ticket++) {
+    for (int ticket = 0; ticket < BURST_SIZE; ticket++) {
       int number = numbers.incrementAndGet();
-      int host = context.number(system.plan().hosts());
-      boolean accepted = code(put(system, host, number, pool("storm", number))).isEmpty();
+      int host = context.nextInt(system.plan().hosts());
+      boolean accepted =
+          errorCode(put(system, host, number, poolTicket("storm", number))).isEmpty();
       staleness = accepted ? number : staleness;
     }
     if (staleness > 0) {
@@ -90,20 +96,20 @@
 
   private static boolean inForceEverywhere(
       LocalSystem system, FaultContext context, int staleness) {
-    long endMillis = context.nowMillis() + IN_FORCE_LIMIT.toMillis();
-    Map<Integer, Integer> seen = new HashMap<>();
+    long endMillis = context.nowMillis() + IN_FORCE_TIMEOUT.toMillis();
+    Map<Integer, Integer> highestByHost = new HashMap<>();
     while (context.nowMillis() < endMillis) {
       for (int host = 0; host < system.plan().hosts(); host++) {
-        int now = stalenessAt(system, host);
-        if (now >= 0 && now < seen.getOrDefault(host, 0)) {
+        int current = stalenessAt(system, host);
+        if (current >= 0 && current < highestByHost.getOrDefault(host, 0)) {
           return false;
         }
-        seen.merge(host, now, Math::max);
+        highestByHost.merge(host, current, Math::max);
       }
-      if (seen.values().stream().allMatch(value -> value >= staleness)) {
+      if (highestByHost.values().stream().allMatch(value -> value >= staleness)) {
         return true;
       }
-      context.last(POLL);
+      context.sleep(POLL_INTERVAL);
     }
     return false;
   }
--- a/alderyard-cli/src/main/java/org/alderyard/cli/prove/TransactionLoad.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/prove/TransactionLoad.java
@@ -16,12 +16,12 @@
 import org.alderyard.common.http.Json;
 
 /**
- * Transactions through changing proxies: each appends two values to a list that many transactions
- * share. A commit is one entry of the log, so the two values stand side by side, or not at all;
- * values of two transactions that are mixed show that their statements shared a connection.
+ * Generates transactions whose requests go through different proxies. Each transaction appends two
+ * values to a shared list. A commit is a single log entry, so the list contains both values next to
+ * each other, or neither. Interleaved values show that two transactions shared a connection.
  */
 final class TransactionLoad {
-  private static final int KEYS = 6;
+  private static final int KEY_COUNT = 6;
   private static final long PAUSE_NANOS = 30_000_000;
   private static final int FINAL_READ_ATTEMPTS = 100;
 
@@ -38,23 +38,23 @@
   void start(int callers) {
     for (int caller = 0; caller < callers; caller++) {
       int number = caller;
-      Thread thread = new Thread(() -> loop(number), "prove-transactions");
+      Thread thread = new Thread(() -> runCaller(number), "prove-transactions");
       thread.setDaemon(true);
       thread.start();
       threads.add(thread);
     }
   }
 
-  private void loop(int caller) {
+  private void runCaller(int caller) {
     for (int round = 0; !stopped.get(); round++) {
-      transaction(caller, round);
+      runTransaction(caller, round);
       LockSupport.parkNanos(PAUSE_NANOS);
     }
   }
 
-  private void transaction(int caller, int round) {
+  private void runTransaction(int caller, int round) {
     String value = "tx-" + caller + "-" + round;
-    String key = key(round % KEYS);
+    String key = key(round % KEY_COUNT);
     Optional<String> id =
         post(proxy(round), "", Json.object().put("key", key))
             .map(answer -> answer.path("transactionId").asText());
@@ -94,7 +94,7 @@
     return system.callerPorts().get(number % system.callerPorts().size());
   }
 
-  /** Stops and returns how many transactions broke the promise, lost commits among them. */
+  /** Stops the load, and counts the inconsistent transactions and lost commits. */
   Result stop() {
     stopped.set(true);
     for (Thread thread : threads) {
@@ -107,16 +107,16 @@
     int broken = 0;
     int unread = 0;
     Set<String> found = new HashSet<>();
-    for (int key = 0; key < KEYS; key++) {
+    for (int key = 0; key < KEY_COUNT; key++) {
       Optional<List<String>> list = read(key(key));
       unread += list.isPresent() ? 0 : 1;
-      broken += brokenPairs(list.orElse(List.of()), found);
+      broken += countBrokenPairs(list.orElse(List.of()), found);
     }
     long lost = committed.stream().filter(value -> !found.contains(value)).count();
     return new Result(begun.get(), unread == 0 ? broken + (int) lost : broken, unread);
   }
 
-  private static int brokenPairs(List<String> list, Set<String> found) {
+  private static int countBrokenPairs(List<String> list, Set<String> found) {
     int broken = 0;
     for (int i = 0; i < list.size(); i += 2) {
       String first = list.get(i);
@@ -149,11 +149,11 @@
   }
 
   /**
-   * What the transactions showed.
+   * The results of the transactions.
    *
-   * @param begun transactions that were begun
-   * @param broken transactions that are there in part, mixed, twice, or not although committed
-   * @param unreadKeys lists that could not be read at the end
+   * @param begun number of transactions that were started
+   * @param broken number of partial, interleaved, duplicate or lost transactions
+   * @param unreadKeys number of lists that could not be read at the end
    */
   record Result(int begun, int broken, int unreadKeys) {}
 }
--- a/alderyard-cli/src/main/java/org/alderyard/cli/prove/package-info.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/prove/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The experiment that attacks a local system with faults and checks each promise of the product.
+ * Injects faults into a local system under load and checks each promise of the product.
  *
- * <p>{@link org.alderyard.cli.prove.Fault} is one attack, {@link
- * org.alderyard.cli.prove.FaultSchedule} their seeded order, {@link
- * org.alderyard.cli.prove.PromiseReport} the result apart from its rendering.
+ * <p>{@link org.alderyard.cli.prove.Fault} is a single fault, {@link
+ * org.alderyard.cli.prove.FaultSchedule} generates a seeded sequence of faults, and {@link
+ * org.alderyard.cli.prove.PromiseReport} holds and formats the results.
  */
 package org.alderyard.cli.prove;
--- a/alderyard-cli/src/test/java/org/alderyard/cli/prove/OverlapScheduleTest.java
+++ b/alderyard-cli/src/test/java/org/alderyard/cli/prove/OverlapScheduleTest.java
@@ -15,13 +15,13 @@
   }
 
   @Test
-  void seedThatFailedCanBePlayedAgain() {
+  void sameSeedGivesSameFaults() {
     assertThat(names(7)).isEqualTo(names(7));
     assertThat(names(7)).isNotEqualTo(names(8));
   }
 
   @Test
-  void everyNetworkFaultComesBesideOneOfProcesses() {
+  void everyNetworkFaultOverlapsWithProcessFault() {
     List<String> names = names(7);
     for (Fault link : LinkFaults.all()) {
       assertThat(names.stream().anyMatch(name -> name.endsWith(" + " + link.name()))).isTrue();
--- a/alderyard-cli/src/test/java/org/alderyard/cli/prove/SoakReportTest.java
+++ b/alderyard-cli/src/test/java/org/alderyard/cli/prove/SoakReportTest.java
@@ -6,9 +6,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What a soak of several seeds tells. */
+/** Tests the totals and failures that a soak run reports. */
 class SoakReportTest {
-  private static PromiseReport seed(long attempts, long violations, Map<String, Integer> faults) {
+  private static PromiseReport reportOfSeed(
+      long attempts, long violations, Map<String, Integer> faults) {
     return new PromiseReport(
         List.of(new PromiseRow("no write is lost", "kills", attempts, violations)),
         faults,
@@ -16,10 +17,10 @@
   }
 
   @Test
-  void seedsAreAddedUpAndJoinedFaultsCountForEach() {
+  void totalsAddUpSeedsAndCountOverlappingFaultsSeparately() {
     SoakReport soak = new SoakReport();
-    soak.add(seed(100, 0, Map.of("kill", 2, "kill + delay", 3)));
-    soak.add(seed(50, 1, Map.of("delay", 1)));
+    soak.add(reportOfSeed(100, 0, Map.of("kill", 2, "kill + delay", 3)));
+    soak.add(reportOfSeed(50, 1, Map.of("delay", 1)));
 
     String text = soak.toText(7, 2);
 
@@ -27,15 +28,15 @@
     assertThat(text).containsMatch("no write is lost +150 checks +1 broken");
     assertThat(text).containsMatch("kill +5");
     assertThat(text).containsMatch("delay +4");
-    assertThat(soak.unbroken()).isTrue();
+    assertThat(soak.allPassed()).isTrue();
   }
 
   @Test
-  void seedThatFailedIsTold() {
+  void failedSeedIsReported() {
     SoakReport soak = new SoakReport();
     soak.addFailure(9, "the folder with its logs");
 
-    assertThat(soak.unbroken()).isFalse();
+    assertThat(soak.allPassed()).isFalse();
     assertThat(soak.toText(9, 1)).contains("failed seeds: 1");
     assertThat(soak.toText(9, 1)).contains("seed 9: the folder with its logs");
   }
