--- a/alderyard-cli/src/main/java/org/alderyard/cli/prove/ProveCommand.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/prove/ProveCommand.java
@@ -1,7 +1,7 @@
 package org.alderyard.cli.prove;
 
-import static org.alderyard.cli.command.OptionNames.flag;
-import static org.alderyard.cli.command.OptionNames.valued;
+import static org.alderyard.cli.command.CommonOptions.flag;
+import static org.alderyard.cli.command.CommonOptions.valued;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -10,31 +10,33 @@
 import java.util.List;
 import org.alderyard.cli.command.Command;
 import org.alderyard.cli.command.CommandSpec;
+import org.alderyard.cli.command.CommonOptions;
 import org.alderyard.cli.command.Invocation;
-import org.alderyard.cli.command.OptionNames;
 import org.alderyard.common.http.Json;
 import org.alderyard.daemon.ExitCode;
 import org.apache.commons.cli.Options;
 
 /**
- * Attacks a local system with a seeded schedule of faults and checks the product's promises.
+ * Injects a seeded sequence of faults into a local system and checks the promises of the product.
  *
  * <p>Example: {@code alderyard prove --seconds 300 --seed 7}
  */
 public final class ProveCommand implements Command {
   private static final String ALLOW_UNPROVED = "allow-unproved";
-  private static final Attack.Presets PRESETS = new Attack.Presets(6, 60, 60, 3, false);
+  private static final ExperimentPlan.Defaults DEFAULTS =
+      new ExperimentPlan.Defaults(6, 60, 60, 3, false);
   private static final CommandSpec SPEC =
       new CommandSpec(
           "prove",
-          "attack a small system here with faults and check every promise",
+          "inject faults into a small local system and check every promise",
           List.of(),
-          PRESETS
+          DEFAULTS
               .addTo(new Options())
-              .addOption(valued("seed", "N", "start of all random choices; default 1"))
+              .addOption(valued("seed", "N", "seed of the random number generators; default 1"))
               .addOption(
-                  flag(ALLOW_UNPROVED, "a run too short to attack every promise is no failure"))
-              .addOption(flag(OptionNames.JSON, "print the report as JSON")));
+                  flag(
+                      ALLOW_UNPROVED, "succeed even if the run is too short to test every promise"))
+              .addOption(flag(CommonOptions.JSON, "print the report as JSON")));
 
   @Override
   public CommandSpec spec() {
@@ -43,19 +45,21 @@
 
   @Override
   public ExitCode run(Invocation invocation) {
-    long seed = invocation.number("seed", 1, 0, Integer.MAX_VALUE);
-    Attack attack = Attack.read(invocation, PRESETS);
+    long seed = invocation.numberOption("seed", 1, 0, Integer.MAX_VALUE);
+    ExperimentPlan plan = ExperimentPlan.read(invocation, DEFAULTS);
     try {
       Path folder = Files.createTempDirectory("alderyard-prove");
       invocation.err().println("settings, data and logs: " + folder);
       PromiseReport report =
-          attack.run(folder, seed, new FaultSchedule(seed)::next, invocation.err()::println);
+          plan.run(folder, seed, new FaultSchedule(seed)::next, invocation.err()::println);
       invocation
           .out()
           .println(
-              invocation.has(OptionNames.JSON) ? Json.pretty(report.toJson()) : report.toText());
-      boolean attacked = report.allAttacked() || invocation.has(ALLOW_UNPROVED);
-      return report.unbroken() && attacked ? ExitCode.OK : ExitCode.FAILED;
+              invocation.hasOption(CommonOptions.JSON)
+                  ? Json.pretty(report.toJson())
+                  : report.toText());
+      boolean tested = report.allTested() || invocation.hasOption(ALLOW_UNPROVED);
+      return report.isClean() && tested ? ExitCode.OK : ExitCode.FAILED;
     } catch (IOException failure) {
       throw new UncheckedIOException(failure);
     }
