--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/reads/EventQueue.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/reads/EventQueue.java
@@ -3,17 +3,17 @@
 import java.time.Duration;
 import java.util.Comparator;
 import java.util.PriorityQueue;
-import org.alderyard.common.time.PausedClock;
+import org.alderyard.common.time.ManualClock;
 
 /** Discrete-event queue that runs events in time order and advances the simulated clock. */
 final class EventQueue {
-  private final PausedClock clock = new PausedClock();
+  private final ManualClock clock = new ManualClock();
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(
           Comparator.comparingLong(Event::atNanos).thenComparingLong(Event::number));
   private long number;
 
-  PausedClock clock() {
+  ManualClock clock() {
     return clock;
   }
 
--- a/alderyard-common/src/main/java/org/alderyard/common/concurrent/Futures.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/concurrent/Futures.java
@@ -22,13 +22,13 @@
   }
 
   /**
-   * Returns the failure as a typed error; any other failure becomes {@code INTERNAL} with an
-   * unknown outcome.
+   * Returns the failure as an {@link AlderyardException}; any other failure becomes {@code
+   * INTERNAL} with an unknown outcome.
    */
-  public static AlderyardException typed(Throwable failure) {
+  public static AlderyardException toAlderyardException(Throwable failure) {
     Throwable cause = unwrap(failure);
-    if (cause instanceof AlderyardException typed) {
-      return typed;
+    if (cause instanceof AlderyardException error) {
+      return error;
     }
     return new AlderyardException(
         ErrorCode.INTERNAL, Outcome.OUTCOME_UNKNOWN, "unexpected failure: " + cause, cause);
--- a/alderyard-common/src/main/java/org/alderyard/common/error/AlderyardException.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/error/AlderyardException.java
@@ -52,7 +52,7 @@
    * Returns an error with the given code, outcome and message that is caused by this error and
    * keeps its retry delay.
    */
-  public AlderyardException restated(ErrorCode newCode, Outcome newOutcome, String message) {
+  public AlderyardException wrapAs(ErrorCode newCode, Outcome newOutcome, String message) {
     return new AlderyardException(newCode, newOutcome, message, this, retryAfterMillis);
   }
 
--- a/alderyard-common/src/main/java/org/alderyard/common/error/ErrorCode.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/error/ErrorCode.java
@@ -63,7 +63,7 @@
   }
 
   /** Returns whether the request itself is at fault, so that every host refuses it. */
-  public boolean blamesRequest() {
+  public boolean isRequestFault() {
     return !retryable
         && httpStatus >= MIN_CLIENT_ERROR_STATUS
         && httpStatus < MIN_SERVER_ERROR_STATUS;
--- a/alderyard-common/src/main/java/org/alderyard/common/http/JsonExchange.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/http/JsonExchange.java
@@ -33,7 +33,7 @@
             (httpExchange, body) ->
                 httpExchange.dispatch(
                     SameThreadExecutor.INSTANCE, () -> respond(httpExchange, body, handler)),
-            (httpExchange, receiveFailure) -> sendError(httpExchange, bodyFault(receiveFailure)));
+            (httpExchange, receiveFailure) -> sendError(httpExchange, bodyError(receiveFailure)));
   }
 
   /**
@@ -41,7 +41,7 @@
    * sender's fault; any other failure is treated as a network fault, so that the request is
    * retried.
    */
-  public static AlderyardException bodyFault(IOException receiveFailure) {
+  public static AlderyardException bodyError(IOException receiveFailure) {
     if (receiveFailure instanceof RequestTooBigException) {
       return AlderyardException.notRun(ErrorCode.REQUEST_TOO_LARGE, "the body is too large");
     }
@@ -65,7 +65,7 @@
           if (failure == null) {
             send(exchange, 200, node);
           } else {
-            sendError(exchange, Futures.typed(failure));
+            sendError(exchange, Futures.toAlderyardException(failure));
           }
         });
   }
--- a/alderyard-common/src/main/java/org/alderyard/common/log/DependencyLog.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/log/DependencyLog.java
@@ -26,7 +26,7 @@
    * Records a failed attempt. Only the first failure is logged, with its full message: the hosts
    * that were tried and the reason of each failure.
    */
-  public void failed(AlderyardException failure) {
+  public void recordFailure(AlderyardException failure) {
     boolean first;
     synchronized (this) {
       first = failures == 0;
@@ -42,7 +42,7 @@
   }
 
   /** Records a successful attempt and logs the recovery if attempts had failed before. */
-  public void worked() {
+  public void recordSuccess() {
     long previousFailures;
     synchronized (this) {
       previousFailures = failures;
--- a/alderyard-common/src/main/java/org/alderyard/common/time/Deadline.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/time/Deadline.java
@@ -20,7 +20,7 @@
   }
 
   /** Returns whether the deadline has passed. */
-  public boolean over(MonotonicClock clock) {
+  public boolean isExpired(MonotonicClock clock) {
     return endNanos - clock.nowNanos() <= 0;
   }
 }
--- a/alderyard-common/src/main/java/org/alderyard/common/time/PausedClock.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/time/ManualClock.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /** A clock that changes only when it is advanced, for tests and simulations. */
-public final class PausedClock implements MonotonicClock {
+public final class ManualClock implements MonotonicClock {
   private final AtomicLong nowNanos = new AtomicLong();
 
   @Override
--- a/alderyard-common/src/main/java/org/alderyard/common/view/GroupState.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/view/GroupState.java
@@ -39,7 +39,7 @@
    * has no entries of its term: such a log may be longer and still hold other entries at that
    * index.
    */
-  public boolean lost(Position position) {
+  public boolean isLost(Position position) {
     return termHistory.stream().anyMatch(start -> truncates(start, position));
   }
 
--- a/alderyard-common/src/main/java/org/alderyard/common/view/HostState.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/view/HostState.java
@@ -36,7 +36,7 @@
   }
 
   /** Returns whether this host is a proxy that accepts new work. */
-  public boolean takesWork() {
+  public boolean acceptsNewWork() {
     return proxy && !draining;
   }
 }
--- a/alderyard-common/src/main/java/org/alderyard/common/watch/WatcherAssignment.java
+++ b/alderyard-common/src/main/java/org/alderyard/common/watch/WatcherAssignment.java
@@ -41,7 +41,7 @@
     long groupHash = RendezvousScores.groupHash(group);
     List<ScoredHost> scoredHosts =
         hosts.stream()
-            .filter(HostState::takesWork)
+            .filter(HostState::acceptsNewWork)
             .map(host -> new ScoredHost(host, scores.score(groupHash, host.id())))
             .sorted(BY_DESCENDING_SCORE)
             .toList();
@@ -67,9 +67,9 @@
    * watcher. With thousands of hosts, this check usually needs a few comparisons and not the scores
    * of all hosts.
    */
-  public boolean watches(HostId host, GroupId group, Map<HostId, HostState> hosts) {
+  public boolean isWatcher(HostId host, GroupId group, Map<HostId, HostState> hosts) {
     HostState self = hosts.get(host);
-    if (self == null || !self.takesWork()) {
+    if (self == null || !self.acceptsNewWork()) {
       return false;
     }
     long groupHash = RendezvousScores.groupHash(group);
@@ -77,7 +77,7 @@
     for (HostState other : hosts.values()) {
       boolean higherInZone =
           other.zone().equals(self.zone())
-              && other.takesWork()
+              && other.acceptsNewWork()
               && scores.score(groupHash, other.id()) > ownScore;
       if (higherInZone) {
         return zoneCount(hosts) < WATCHERS && watchers(group, hosts.values()).contains(host);
--- a/alderyard-common/src/test/java/org/alderyard/common/log/DependencyLogTest.java
+++ b/alderyard-common/src/test/java/org/alderyard/common/log/DependencyLogTest.java
@@ -40,7 +40,7 @@
    */
   @Test
   void lossLineNamesTheTriedHostsAndReasons() {
-    heartbeat.failed(noQuorum("tried 10.0.0.1:7440:DEADLINE_EXCEEDED:OUTCOME_UNKNOWN"));
+    heartbeat.recordFailure(noQuorum("tried 10.0.0.1:7440:DEADLINE_EXCEEDED:OUTCOME_UNKNOWN"));
 
     assertThat(messages())
         .containsExactly(
@@ -50,10 +50,10 @@
 
   @Test
   void furtherFailuresAreCountedAndNotLogged() {
-    heartbeat.worked();
-    heartbeat.failed(noQuorum("first"));
-    heartbeat.failed(noQuorum("second"));
-    heartbeat.worked();
+    heartbeat.recordSuccess();
+    heartbeat.recordFailure(noQuorum("first"));
+    heartbeat.recordFailure(noQuorum("second"));
+    heartbeat.recordSuccess();
 
     assertThat(messages()).hasSize(2);
     assertThat(messages().get(1))
--- a/alderyard-common/src/test/java/org/alderyard/common/view/LostEntriesTest.java
+++ b/alderyard-common/src/test/java/org/alderyard/common/view/LostEntriesTest.java
@@ -15,9 +15,9 @@
   @Test
   void entryPastTheStartOfLaterTermIsLost() {
     GroupState group = group(new TermStart(2, 10, 1));
-    assertThat(group.lost(new Position(1, 10))).isFalse();
-    assertThat(group.lost(new Position(1, 11))).isTrue();
-    assertThat(group.lost(new Position(2, 11))).isFalse();
+    assertThat(group.isLost(new Position(1, 10))).isFalse();
+    assertThat(group.isLost(new Position(1, 11))).isTrue();
+    assertThat(group.isLost(new Position(2, 11))).isFalse();
   }
 
   /**
@@ -29,15 +29,15 @@
   @Test
   void entryOfTermMissingInLongerLogOfNextPrimaryIsLost() {
     GroupState group = group(new TermStart(2, 5, 1), new TermStart(3, 20, 1));
-    assertThat(group.lost(new Position(2, 6))).isTrue();
-    assertThat(group.lost(new Position(1, 5))).isFalse();
+    assertThat(group.isLost(new Position(2, 6))).isTrue();
+    assertThat(group.isLost(new Position(1, 5))).isFalse();
   }
 
   @Test
   void entryOfTermInTheLogOfTheNextPrimaryIsKept() {
     GroupState group = group(new TermStart(2, 5, 1), new TermStart(3, 20, 2));
-    assertThat(group.lost(new Position(2, 6))).isFalse();
-    assertThat(group.lost(new Position(1, 6))).isTrue();
+    assertThat(group.isLost(new Position(2, 6))).isFalse();
+    assertThat(group.isLost(new Position(1, 6))).isTrue();
   }
 
   private static GroupState group(TermStart... history) {
--- a/alderyard-control/src/main/java/org/alderyard/control/log/JoinPoller.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/log/JoinPoller.java
@@ -58,7 +58,7 @@
     others.forEach(
         (peer, address) ->
             links
-                .to(address)
+                .linkTo(address)
                 .call(RaftMethods.JOIN, request, options.sendTimeout())
                 .whenComplete(
                     (reply, failure) -> loop.submit(() -> onReply(peer, reply, failure))));
--- a/alderyard-control/src/main/java/org/alderyard/control/log/RaftTransport.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/log/RaftTransport.java
@@ -84,7 +84,7 @@
       }
       inFlight = true;
       links
-          .to(address.get())
+          .linkTo(address.get())
           .call(RaftMethods.MESSAGES, nextBatch(), options.sendTimeout())
           .whenComplete((ack, failure) -> loop.submit(() -> onSent(failure)));
     }
--- a/alderyard-control/src/main/java/org/alderyard/control/log/ReplicatedLog.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/log/ReplicatedLog.java
@@ -122,17 +122,17 @@
     if (closed) {
       return;
     }
-    AlderyardException typed = Futures.typed(cause);
-    log.error("event=log-stopped reason=\"{}\"", typed.getMessage(), cause);
-    failure = typed;
+    AlderyardException error = Futures.toAlderyardException(cause);
+    log.error("event=log-stopped reason=\"{}\"", error.getMessage(), cause);
+    failure = error;
     loop.stop();
     closed = true;
     status = LogStatus.NONE;
     pending.failAll(
-        AlderyardException.unknown(typed.code(), "the log stopped: " + typed.getMessage(), typed),
+        AlderyardException.unknown(error.code(), "the log stopped: " + error.getMessage(), error),
         stopped());
     replica.close();
-    listener.onFailure(typed);
+    listener.onFailure(error);
   }
 
   @Override
--- a/alderyard-control/src/main/java/org/alderyard/control/operator/RemoteControlGateway.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/operator/RemoteControlGateway.java
@@ -30,7 +30,7 @@
 
   @Override
   public CompletableFuture<SubmitTicketReply> submit(Ticket ticket) {
-    return control.callPatiently(
+    return control.callWithRetries(
         ControlMethods.SUBMIT_TICKET,
         SubmitTicketRequest.newBuilder().setTicket(ticket).build(),
         TIMEOUT);
@@ -46,7 +46,7 @@
 
   @Override
   public CompletableFuture<DrainHostReply> drain(DrainHostRequest request) {
-    return control.callPatiently(ControlMethods.DRAIN_HOST, request, TIMEOUT);
+    return control.callWithRetries(ControlMethods.DRAIN_HOST, request, TIMEOUT);
   }
 
   @Override
--- a/alderyard-control/src/main/java/org/alderyard/control/promotion/PromotionService.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/promotion/PromotionService.java
@@ -213,7 +213,7 @@
                 log.info(
                     "event=failover-candidate server={} reached=false reason={}",
                     server.id(),
-                    Futures.typed(failure).code());
+                    Futures.toAlderyardException(failure).code());
                 return Optional.empty();
               }
               log.info(
--- a/alderyard-control/src/test/java/org/alderyard/control/log/ReplicatedLogTest.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/log/ReplicatedLogTest.java
@@ -87,7 +87,7 @@
         accepted.add(command);
         return;
       } catch (CompletionException refused) {
-        assertThat(Futures.typed(refused).code()).isEqualTo(ErrorCode.NOT_LEADER);
+        assertThat(Futures.toAlderyardException(refused).code()).isEqualTo(ErrorCode.NOT_LEADER);
       }
     }
   }
@@ -110,7 +110,7 @@
   }
 
   private static AlderyardException failure(CompletableFuture<?> call) {
-    return Futures.typed(assertThrows(CompletionException.class, call::join));
+    return Futures.toAlderyardException(assertThrows(CompletionException.class, call::join));
   }
 
   /**
--- a/alderyard-control/src/test/java/org/alderyard/control/service/ControlHost.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/service/ControlHost.java
@@ -142,7 +142,7 @@
     try {
       call.get();
     } catch (CompletionException failure) {
-      return Futures.typed(failure).code();
+      return Futures.toAlderyardException(failure).code();
     }
     throw new AssertionError("expected the call to fail");
   }
--- a/alderyard-control/src/test/java/org/alderyard/control/service/ControlScheduleTest.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/service/ControlScheduleTest.java
@@ -11,7 +11,7 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.CompletionException;
 import org.alderyard.common.concurrent.WorkerPool;
-import org.alderyard.common.time.PausedClock;
+import org.alderyard.common.time.ManualClock;
 import org.alderyard.common.view.ViewVersion;
 import org.alderyard.protocol.generated.control.FetchViewReply;
 import org.alderyard.protocol.generated.control.TicketAnswer;
@@ -32,7 +32,7 @@
   private static final int PROXIES = 4;
   private static final int MAX_IN_FLIGHT = 12;
 
-  private final PausedClock clock = new PausedClock();
+  private final ManualClock clock = new ManualClock();
   private final FakeLog log = new FakeLog();
   private final List<ControlHost> hosts = new ArrayList<>();
   private final List<ViewFollower> proxies = new ArrayList<>();
--- a/alderyard-control/src/test/java/org/alderyard/control/service/ControlServiceTest.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/service/ControlServiceTest.java
@@ -14,7 +14,7 @@
 import org.alderyard.common.id.GroupId;
 import org.alderyard.common.id.HostId;
 import org.alderyard.common.id.ServerId;
-import org.alderyard.common.time.PausedClock;
+import org.alderyard.common.time.ManualClock;
 import org.alderyard.common.view.ServerStatus;
 import org.alderyard.control.state.TicketObjects;
 import org.alderyard.protocol.generated.control.SubmitTicketRequest;
@@ -33,7 +33,7 @@
 class ControlServiceTest {
   private static final ServerId SERVER = new ServerId("s1");
 
-  private final PausedClock clock = new PausedClock();
+  private final ManualClock clock = new ManualClock();
   private final WorkerPool workers = new WorkerPool("test", 1);
   private final FakeLog log = new FakeLog();
   private final ControlHost first = new ControlHost("c1", log, clock, workers);
@@ -98,7 +98,7 @@
         assertThrows(AlderyardException.class, () -> first.service.submit(damaged));
 
     assertThat(failure.code()).isEqualTo(ErrorCode.MESSAGE_DAMAGED);
-    assertThat(failure.code().blamesRequest()).isFalse();
+    assertThat(failure.code().isRequestFault()).isFalse();
   }
 
   /**
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/ControlStack.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/ControlStack.java
@@ -90,7 +90,7 @@
         ReplicatedLog.builder()
             .clusterId(settings.clusterId())
             .host(settings.host(), settings.innerAddress())
-            .members(host.controlHosts.listed())
+            .members(host.controlHosts.configuredAddresses())
             .dataFolder(settings.dataFolder().get())
             .stateMachine(state)
             .network(host.links, host.dispatcher)
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/Daemon.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/Daemon.java
@@ -99,7 +99,7 @@
         .discovery()
         .ifPresent(
             options -> {
-              host.views.onChange(view -> discovery.learn(view.hosts().values()));
+              host.views.onChange(view -> discovery.onViewChange(view.hosts().values()));
               discovery.start();
             });
   }
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/DaemonMain.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/DaemonMain.java
@@ -79,7 +79,7 @@
     try {
       ended.get();
     } catch (ExecutionException failed) {
-      throw Futures.typed(failed);
+      throw Futures.toAlderyardException(failed);
     }
   }
 
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/HostContext.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/HostContext.java
@@ -112,7 +112,7 @@
             settings.clusterKey(),
             CONNECT_TIMEOUT,
             MAX_OUTSTANDING_REQUESTS);
-    longTimeoutProtocol = protocol.connectingWithin(LONG_CONNECT_TIMEOUT);
+    longTimeoutProtocol = protocol.withConnectTimeout(LONG_CONNECT_TIMEOUT);
     links = register(new PeerLinks(loops, protocol));
     statementLinks = register(new PeerLinks(loops, longTimeoutProtocol));
     controlHosts =
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/WriteStack.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/WriteStack.java
@@ -74,7 +74,9 @@
             viewClient::leaseValid,
             writePath::run,
             (host, request, timeout) ->
-                links.to(host.innerAddress()).call(DataMethods.RUN_OWNED_WRITE, request, timeout),
+                links
+                    .linkTo(host.innerAddress())
+                    .call(DataMethods.RUN_OWNED_WRITE, request, timeout),
             LedgerLimits.DEFAULT,
             workers,
             clock,
@@ -136,7 +138,7 @@
             tokens,
             (holder, request, timeout) ->
                 links
-                    .to(holder.innerAddress())
+                    .linkTo(holder.innerAddress())
                     .call(DataMethods.FORWARD_TRANSACTION, request, timeout),
             inFlight);
     dispatcher.serve(
--- a/alderyard-protocol/src/main/java/org/alderyard/protocol/control/ControlClient.java
+++ b/alderyard-protocol/src/main/java/org/alderyard/protocol/control/ControlClient.java
@@ -63,7 +63,7 @@
    */
   public <Q extends MessageLite, R extends MessageLite> CompletableFuture<R> callHost(
       int index, Method<Q, R> method, Q request, Duration timeout) {
-    return links.to(address(index)).call(method, request, timeout);
+    return links.linkTo(address(index)).call(method, request, timeout);
   }
 
   private InetSocketAddress address(int index) {
@@ -81,7 +81,7 @@
    * Sends an idempotent request to all control hosts in rounds, for about three seconds. The hosts
    * need about that time to elect another leader.
    */
-  public <Q extends MessageLite, R extends MessageLite> CompletableFuture<R> callPatiently(
+  public <Q extends MessageLite, R extends MessageLite> CompletableFuture<R> callWithRetries(
       Method<Q, R> method, Q request, Duration timeout) {
     int attempts = hostCount() * RETRY_ROUNDS;
     return new RetryingCall<>(method, request, timeout, attempts, ROUND_DELAY).run();
@@ -95,7 +95,7 @@
    * recipient of the reply would take capacity from the requests that are still wanted: with a slow
    * leader, such attempts alone amounted to several hundred requests per second.
    */
-  public <Q extends MessageLite, R extends MessageLite> CompletableFuture<R> callWithin(
+  public <Q extends MessageLite, R extends MessageLite> CompletableFuture<R> callWithTotalTimeout(
       Method<Q, R> method, Q request, Duration timeout, Duration total) {
     RetryingCall<Q, R> retryingCall =
         new RetryingCall<>(method, request, timeout, hostCount() * RETRY_ROUNDS, ROUND_DELAY);
@@ -113,7 +113,7 @@
       // Hosts of an earlier build return this code for a method that they do not serve.
       case NOT_FOUND -> true;
       case OVERLOADED -> false;
-      default -> !code.blamesRequest();
+      default -> !code.isRequestFault();
     };
   }
 
@@ -154,16 +154,16 @@
       int index = preferredIndex.get();
       InetSocketAddress host = address(index);
       links
-          .to(host)
+          .linkTo(host)
           .call(method, request, timeout)
           .whenComplete(
               (reply, failure) -> {
                 if (failure == null) {
                   result.complete(reply);
                 } else {
-                  AlderyardException typed = Futures.typed(failure);
-                  triedHosts.add(host, typed);
-                  onFailure(index, typed);
+                  AlderyardException error = Futures.toAlderyardException(failure);
+                  triedHosts.add(host, error);
+                  onFailure(index, error);
                 }
               });
     }
@@ -202,7 +202,7 @@
 
     private void completeFailed(ErrorCode code, Outcome outcome, AlderyardException lastFailure) {
       result.completeExceptionally(
-          lastFailure.restated(
+          lastFailure.wrapAs(
               code,
               outcome,
               "no control host served %s; last failure: %s; tried %s"
--- a/alderyard-protocol/src/main/java/org/alderyard/protocol/control/ControlDiscovery.java
+++ b/alderyard-protocol/src/main/java/org/alderyard/protocol/control/ControlDiscovery.java
@@ -88,7 +88,7 @@
   }
 
   /** Updates the known control hosts from the hosts of a view. */
-  public void learn(Collection<HostState> all) {
+  public void onViewChange(Collection<HostState> all) {
     List<InetSocketAddress> control =
         all.stream().filter(HostState::control).map(HostState::innerAddress).toList();
     hosts.replace(control);
@@ -105,11 +105,11 @@
         FindControlHostsRequest.newBuilder()
             .addAllControlHosts(confirmedHosts.stream().map(StateCodec::endpointMessage).toList())
             .build();
-    Set<InetSocketAddress> recipients = new LinkedHashSet<>(hosts.listed());
+    Set<InetSocketAddress> recipients = new LinkedHashSet<>(hosts.configuredAddresses());
     recipients.addAll(hosts.addresses());
     for (InetSocketAddress address : recipients) {
       links
-          .to(address)
+          .linkTo(address)
           .call(ControlMethods.FIND_CONTROL_HOSTS, request, CALL_TIMEOUT)
           .thenAccept(reply -> onReply(address, reply));
     }
--- a/alderyard-protocol/src/main/java/org/alderyard/protocol/control/ControlHosts.java
+++ b/alderyard-protocol/src/main/java/org/alderyard/protocol/control/ControlHosts.java
@@ -12,7 +12,7 @@
  * <p>Locking: guarded by the object itself; no other lock is acquired while it is held.
  */
 public final class ControlHosts {
-  private final List<InetSocketAddress> listed;
+  private final List<InetSocketAddress> configuredAddresses;
   private final int voterCount;
   // Guarded by this.
   private Set<InetSocketAddress> discovered = new LinkedHashSet<>();
@@ -21,18 +21,18 @@
   /**
    * Creates a list with the addresses from the settings.
    *
-   * @param listed the addresses from the settings
+   * @param configuredAddresses the addresses from the settings
    * @param voterCount the number of voting control hosts; a list with fewer hosts is incomplete
    */
-  public ControlHosts(List<InetSocketAddress> listed, int voterCount) {
-    this.listed = List.copyOf(listed);
+  public ControlHosts(List<InetSocketAddress> configuredAddresses, int voterCount) {
+    this.configuredAddresses = List.copyOf(configuredAddresses);
     this.voterCount = voterCount;
-    this.addresses = this.listed;
+    this.addresses = this.configuredAddresses;
   }
 
   /** Returns the addresses from the settings. */
-  public List<InetSocketAddress> listed() {
-    return listed;
+  public List<InetSocketAddress> configuredAddresses() {
+    return configuredAddresses;
   }
 
   /** Returns all known addresses, discovered addresses first. */
@@ -66,7 +66,7 @@
   private void updateAddresses() {
     Set<InetSocketAddress> all = new LinkedHashSet<>(discovered);
     if (discovered.size() < voterCount) {
-      all.addAll(listed);
+      all.addAll(configuredAddresses);
     }
     addresses = List.copyOf(all);
   }
--- a/alderyard-protocol/src/main/java/org/alderyard/protocol/wire/Frames.java
+++ b/alderyard-protocol/src/main/java/org/alderyard/protocol/wire/Frames.java
@@ -36,15 +36,15 @@
   }
 
   static Envelope error(long correlationId, Throwable failure) {
-    AlderyardException typed = Futures.typed(failure);
+    AlderyardException error = Futures.toAlderyardException(failure);
     return Envelope.newBuilder()
         .setError(
             ErrorReply.newBuilder()
                 .setCorrelationId(correlationId)
-                .setCode(typed.code().name())
-                .setOutcome(typed.outcome().name())
-                .setMessage(String.valueOf(typed.getMessage()))
-                .setRetryAfterMillis(typed.retryAfterMillis().orElse(0)))
+                .setCode(error.code().name())
+                .setOutcome(error.outcome().name())
+                .setMessage(String.valueOf(error.getMessage()))
+                .setRetryAfterMillis(error.retryAfterMillis().orElse(0)))
         .build();
   }
 
--- a/alderyard-protocol/src/main/java/org/alderyard/protocol/wire/PeerLink.java
+++ b/alderyard-protocol/src/main/java/org/alderyard/protocol/wire/PeerLink.java
@@ -97,7 +97,7 @@
    * Returns a future that completes once the link is connected and fails with {@code NOT_RUN} after
    * the given time. The connection attempt continues for later requests.
    */
-  public CompletableFuture<Void> connected(Duration limit) {
+  public CompletableFuture<Void> whenConnected(Duration limit) {
     CompletableFuture<Void> open = connection().thenApply(connection -> null);
     return open.isDone()
         ? open
@@ -107,7 +107,10 @@
                     CompletableFuture.failedFuture(
                         AlderyardException.notRun(
                             ErrorCode.CONNECTION_LOST,
-                            "no connection to " + address + ": " + Futures.typed(failure).code())));
+                            "no connection to "
+                                + address
+                                + ": "
+                                + Futures.toAlderyardException(failure).code())));
   }
 
   /** Returns whether the link is currently connected. */
--- a/alderyard-protocol/src/main/java/org/alderyard/protocol/wire/PeerLinks.java
+++ b/alderyard-protocol/src/main/java/org/alderyard/protocol/wire/PeerLinks.java
@@ -18,7 +18,7 @@
   }
 
   /** Returns the link to the given address, which is created at the first call. */
-  public PeerLink to(InetSocketAddress address) {
+  public PeerLink linkTo(InetSocketAddress address) {
     return links.computeIfAbsent(
         address, key -> new PeerLink(loops, key, options, MonotonicClock.system()));
   }
--- a/alderyard-protocol/src/main/java/org/alderyard/protocol/wire/ProtocolOptions.java
+++ b/alderyard-protocol/src/main/java/org/alderyard/protocol/wire/ProtocolOptions.java
@@ -42,7 +42,7 @@
   }
 
   /** Returns a copy of these options with another connect timeout. */
-  public ProtocolOptions connectingWithin(Duration timeout) {
+  public ProtocolOptions withConnectTimeout(Duration timeout) {
     return new ProtocolOptions(clusterId, host, incarnation, clusterKey, timeout, maxOutstanding);
   }
 }
--- a/alderyard-protocol/src/test/java/org/alderyard/protocol/InnerProtocolTest.java
+++ b/alderyard-protocol/src/test/java/org/alderyard/protocol/InnerProtocolTest.java
@@ -115,7 +115,7 @@
   }
 
   private static AlderyardException failure(CompletableFuture<?> call) {
-    return Futures.typed(assertThrows(CompletionException.class, call::join));
+    return Futures.toAlderyardException(assertThrows(CompletionException.class, call::join));
   }
 
   private static Version version(long epoch, long version) {
--- a/alderyard-protocol/src/test/java/org/alderyard/protocol/control/ControlClientTest.java
+++ b/alderyard-protocol/src/test/java/org/alderyard/protocol/control/ControlClientTest.java
@@ -90,7 +90,8 @@
   }
 
   private AlderyardException failure(Duration timeout) {
-    return Futures.typed(assertThrows(CompletionException.class, () -> announce(timeout).join()));
+    return Futures.toAlderyardException(
+        assertThrows(CompletionException.class, () -> announce(timeout).join()));
   }
 
   /**
@@ -169,7 +170,7 @@
         ExecutionException.class,
         () ->
             client
-                .callWithin(
+                .callWithTotalTimeout(
                     ControlMethods.ANNOUNCE,
                     AnnounceRequest.getDefaultInstance(),
                     Duration.ofMillis(100),
--- a/alderyard-protocol/src/test/java/org/alderyard/protocol/wire/DispatcherTest.java
+++ b/alderyard-protocol/src/test/java/org/alderyard/protocol/wire/DispatcherTest.java
@@ -31,7 +31,7 @@
                   CompletableFuture.completedFuture(AnnounceReply.getDefaultInstance()));
 
   private AlderyardException failure(int method, ByteString payload) {
-    return Futures.typed(
+    return Futures.toAlderyardException(
         assertThrows(
             CompletionException.class, () -> dispatcher.dispatch(PEER, method, payload).join()));
   }
@@ -41,7 +41,7 @@
     AlderyardException failure = failure(UNSERVED_METHOD, ByteString.EMPTY);
 
     assertThat(failure.code()).isEqualTo(ErrorCode.METHOD_NOT_SERVED);
-    assertThat(failure.code().blamesRequest()).isFalse();
+    assertThat(failure.code().isRequestFault()).isFalse();
     assertThat(failure.outcome()).isEqualTo(Outcome.NOT_RUN);
   }
 
@@ -50,7 +50,7 @@
     AlderyardException failure = failure(ControlMethods.ANNOUNCE.number(), TRUNCATED);
 
     assertThat(failure.code()).isEqualTo(ErrorCode.MESSAGE_DAMAGED);
-    assertThat(failure.code().blamesRequest()).isFalse();
+    assertThat(failure.code().isRequestFault()).isFalse();
     assertThat(failure.outcome()).isEqualTo(Outcome.NOT_RUN);
   }
 }
--- a/alderyard-protocol/src/test/java/org/alderyard/protocol/wire/LostHandshakeTest.java
+++ b/alderyard-protocol/src/test/java/org/alderyard/protocol/wire/LostHandshakeTest.java
@@ -45,7 +45,7 @@
   void handshakeWithFrozenHostFailsAsLostConnection() throws IOException {
     try (ServerSocket frozen = openListener();
         PeerLinks links = new PeerLinks(loops, TestPeers.options("h2", CONNECT_TIMEOUT))) {
-      AlderyardException failure = failure(replaceConfiguration(links.to(address(frozen))));
+      AlderyardException failure = failure(replaceConfiguration(links.linkTo(address(frozen))));
 
       assertThat(failure.code()).isEqualTo(ErrorCode.CONNECTION_LOST);
       assertThat(failure.outcome()).isEqualTo(Outcome.NOT_RUN);
@@ -58,7 +58,7 @@
         PeerLinks links = new PeerLinks(loops, TestPeers.options("h2", CONNECT_TIMEOUT))) {
       workers.execute(() -> acceptAndClose(closing));
 
-      assertThat(failure(replaceConfiguration(links.to(address(closing)))).code())
+      assertThat(failure(replaceConfiguration(links.linkTo(address(closing)))).code())
           .isEqualTo(ErrorCode.CONNECTION_LOST);
     }
   }
@@ -108,7 +108,7 @@
   }
 
   private static AlderyardException failure(CompletableFuture<?> call) {
-    return Futures.typed(assertThrows(CompletionException.class, call::join));
+    return Futures.toAlderyardException(assertThrows(CompletionException.class, call::join));
   }
 
   private static ServerSocket openListener() throws IOException {
--- a/alderyard-protocol/src/test/java/org/alderyard/protocol/wire/UnresponsiveConnectionTest.java
+++ b/alderyard-protocol/src/test/java/org/alderyard/protocol/wire/UnresponsiveConnectionTest.java
@@ -45,7 +45,7 @@
                 dispatcher,
                 workers);
         PeerLinks links = new PeerLinks(loops, TestPeers.options("h2", CONNECT_TIMEOUT))) {
-      PeerLink link = links.to(server.address());
+      PeerLink link = links.linkTo(server.address());
       assertThrows(ExecutionException.class, () -> findControlHosts(link, Duration.ofMillis(800)));
       findControlHosts(link, Duration.ofSeconds(5));
 
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/api/ForwardFailures.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/api/ForwardFailures.java
@@ -21,7 +21,7 @@
    */
   static AlderyardException toCallerError(Action action, AlderyardException failure) {
     return action == Action.COMMIT && isTransportFailure(failure.code())
-        ? failure.restated(failure.code(), Outcome.OUTCOME_UNKNOWN, failure.getMessage())
+        ? failure.wrapAs(failure.code(), Outcome.OUTCOME_UNKNOWN, failure.getMessage())
         : failure;
   }
 
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/api/TransactionApi.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/api/TransactionApi.java
@@ -129,7 +129,8 @@
         .handle(
             (reply, failure) -> {
               if (failure != null) {
-                throw ForwardFailures.toCallerError(request.getAction(), Futures.typed(failure));
+                throw ForwardFailures.toCallerError(
+                    request.getAction(), Futures.toAlderyardException(failure));
               }
               return new Reply(
                   Json.parseObject(reply.getBody().toByteArray()),
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/ForwardedStatement.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/ForwardedStatement.java
@@ -151,7 +151,7 @@
               if (failure == null) {
                 handleReply(holder, transaction, reply, sentNanos);
               } else {
-                handleFailure(holder, transaction, Futures.typed(failure));
+                handleFailure(holder, transaction, Futures.toAlderyardException(failure));
               }
             });
   }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/HeldElsewhere.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/HeldElsewhere.java
@@ -43,7 +43,7 @@
         .handle(
             (message, failure) -> {
               if (failure != null) {
-                return handleFailure(owner, open, task, Futures.typed(failure));
+                return handleFailure(owner, open, task, Futures.toAlderyardException(failure));
               }
               SessionReply reply = HeldStatementCodec.reply(message);
               handleTransactionEnd(owner, open, task, reply);
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/HolderAssignment.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/HolderAssignment.java
@@ -62,7 +62,8 @@
    */
   Optional<List<HostState>> holders(View view, GroupId group) {
     int acceptedConnections = view.group(group).map(GroupState::connectionsPerServer).orElse(0);
-    List<HostState> hosts = view.hosts().values().stream().filter(HostState::takesWork).toList();
+    List<HostState> hosts =
+        view.hosts().values().stream().filter(HostState::acceptsNewWork).toList();
     int steadyStateConnections = acceptedConnections / STEADY_STATE_DIVISOR;
     if (acceptedConnections == 0 || hosts.size() * CONNECTIONS_PER_HOST <= acceptedConnections) {
       return Optional.empty();
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/PeerLinkHolderClient.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/PeerLinkHolderClient.java
@@ -36,8 +36,8 @@
   @Override
   public CompletableFuture<HeldStatementReply> run(
       HostState holder, HeldStatementRequest request, Duration timeout) {
-    PeerLink link = links.to(holder.innerAddress());
-    return link.connected(CONNECT_TIMEOUT)
+    PeerLink link = links.linkTo(holder.innerAddress());
+    return link.whenConnected(CONNECT_TIMEOUT)
         .thenCompose(
             connected ->
                 link.call(DataMethods.RUN_HELD_STATEMENT, request, timeout, SILENCE_TIMEOUT));
@@ -46,7 +46,7 @@
   @Override
   public void end(HostState holder, EndHeldTransactionRequest request) {
     links
-        .to(holder.innerAddress())
+        .linkTo(holder.innerAddress())
         .call(DataMethods.END_HELD_TRANSACTION, request, END_TIMEOUT, SILENCE_TIMEOUT);
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/PeerSamples.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/PeerSamples.java
@@ -83,7 +83,7 @@
       HostState peer = peers.get(Math.floorMod(nextPeer.getAndIncrement(), peers.size()));
       long sentNanos = context.clock().nowNanos();
       links
-          .to(peer.innerAddress())
+          .linkTo(peer.innerAddress())
           .call(DataMethods.POSITION_SAMPLE, request, TIMEOUT)
           .thenAccept(
               reply ->
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/PinnedStatement.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/PinnedStatement.java
@@ -68,7 +68,7 @@
             (replies, failure) -> {
               routing.ended(server);
               if (failure != null) {
-                return handleConnectionLoss(Futures.typed(failure));
+                return handleConnectionLoss(Futures.toAlderyardException(failure));
               }
               return handleReplies(replies, sentNanos, retries);
             })
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/PrimaryReporter.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/PrimaryReporter.java
@@ -87,7 +87,8 @@
             (reply, failure) -> {
               reportInFlight.set(false);
               if (failure != null) {
-                log.debug("event=report-failed reason={}", Futures.typed(failure).code());
+                log.debug(
+                    "event=report-failed reason={}", Futures.toAlderyardException(failure).code());
               }
             });
   }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/SessionService.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/SessionService.java
@@ -157,7 +157,9 @@
       Dispatcher dispatcher, PeerLinks links, PeerLinks statementLinks, HostState self) {
     HolderSelector selector =
         new HolderSelector(
-            self.id(), self.zone(), host -> statementLinks.to(host.innerAddress()).isConnected());
+            self.id(),
+            self.zone(),
+            host -> statementLinks.linkTo(host.innerAddress()).isConnected());
     PeerSamples peerSamples = new PeerSamples(links, selector, context);
     peerSamples.serve(dispatcher);
     refresher.setPeerSamples(peerSamples);
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/StatementAttempt.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/StatementAttempt.java
@@ -84,7 +84,7 @@
     } else if (!StatementRun.isConnectionLimit(failure)) {
       routing.failed(server, context.clock().nowNanos());
     }
-    run.recordFailure(server, Futures.typed(failure).code());
+    run.recordFailure(server, Futures.toAlderyardException(failure).code());
     retryElsewhere();
   }
 
@@ -203,7 +203,7 @@
         .whenComplete(
             (replies, failure) -> {
               if (failure != null) {
-                responseLost(session, Futures.typed(failure));
+                responseLost(session, Futures.toAlderyardException(failure));
               } else {
                 replyReceived(session, replies.get(0));
               }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/freshness/EligibilityRule.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/freshness/EligibilityRule.java
@@ -55,7 +55,7 @@
    * lost tail of its log.
    */
   private static boolean diverged(GroupState group, Position applied) {
-    return applied.term() > group.term() || group.lost(applied);
+    return applied.term() > group.term() || group.isLost(applied);
   }
 
   private static Eligibility bounded(
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/lease/LeaseClient.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/lease/LeaseClient.java
@@ -103,7 +103,9 @@
               if (failure == null) {
                 accept(reply);
               } else {
-                log.warn("event=lease-renewal-failed reason={}", Futures.typed(failure).code());
+                log.warn(
+                    "event=lease-renewal-failed reason={}",
+                    Futures.toAlderyardException(failure).code());
               }
             });
   }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/ledger/LedgerTable.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/ledger/LedgerTable.java
@@ -92,7 +92,7 @@
     if (failure == null) {
       entry.resultBytes = Json.bytes(answer.result()).length;
       resultBytes += entry.resultBytes;
-    } else if (Futures.typed(failure).outcome() == Outcome.NOT_RUN) {
+    } else if (Futures.toAlderyardException(failure).outcome() == Outcome.NOT_RUN) {
       // The request did not run, so a resend is admitted as new.
       remove(entry);
     }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/ledger/OwnerCall.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/ledger/OwnerCall.java
@@ -56,7 +56,7 @@
               if (failure == null) {
                 result.complete(answer);
               } else {
-                handleFailure(owner, Futures.typed(failure));
+                handleFailure(owner, Futures.toAlderyardException(failure));
               }
             });
   }
@@ -88,7 +88,7 @@
 
   private static WriteAnswer toAnswer(OwnedWriteReply reply, Throwable failure) {
     if (failure != null) {
-      throw new OwnerUnreachableException(Futures.typed(failure));
+      throw new OwnerUnreachableException(Futures.toAlderyardException(failure));
     }
     if (reply.hasFailure()) {
       throw OwnedWriteCodec.decodeFailure(reply.getFailure());
@@ -104,7 +104,7 @@
     }
     boolean retryable = notRun && (unreachable || failure.code() == ErrorCode.NOT_OWNER);
     boolean retry = uncertainOwner == null ? retryable : unreachable && ownerUnchanged();
-    if (retry && !deadline.over(ledger.clock())) {
+    if (retry && !deadline.isExpired(ledger.clock())) {
       ledger.workers().schedule(RETRY_DELAY, this::attempt);
       return;
     }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/ledger/OwnerLedger.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/ledger/OwnerLedger.java
@@ -126,7 +126,7 @@
         (writeAnswer, failure) ->
             failure == null
                 ? OwnedWriteCodec.encodeAnswer(writeAnswer)
-                : OwnedWriteCodec.encodeFailure(Futures.typed(failure)));
+                : OwnedWriteCodec.encodeFailure(Futures.toAlderyardException(failure)));
   }
 
   /**
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/ledger/RequestOwners.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/ledger/RequestOwners.java
@@ -89,7 +89,7 @@
   private static SortedSet<HostId> liveProxies(View view) {
     SortedSet<HostId> proxies = new TreeSet<>();
     for (HostState host : view.hosts().values()) {
-      if (host.takesWork()) {
+      if (host.acceptsNewWork()) {
         proxies.add(host.id());
       }
     }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadPath.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadPath.java
@@ -228,7 +228,7 @@
     }
     boolean covered =
         EligibilityRule.covers(position, read.demand.requirement().position())
-            && !read.group.lost(position);
+            && !read.group.isLost(position);
     if (mode != FreshnessMode.BOUNDED || !replica) {
       return covered;
     }
@@ -240,7 +240,7 @@
 
   private CompletableFuture<ReadAnswer> retryOrFail(
       ReadState read, ServerState server, Throwable failure) {
-    AlderyardException error = Futures.typed(failure);
+    AlderyardException error = Futures.toAlderyardException(failure);
     boolean retry =
         read.attempts < MAX_ATTEMPTS
             && clock.nowNanos() < read.deadlineNanos
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ServerRunner.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ServerRunner.java
@@ -116,7 +116,8 @@
       ServerState server, ServerLimiters.Permit permit, long latencyNanos, Throwable failure) {
     boolean rejectedByServer =
         failure != null && Futures.unwrap(failure) instanceof BackendException;
-    boolean overloaded = failure != null && Futures.typed(failure).code() == ErrorCode.OVERLOADED;
+    boolean overloaded =
+        failure != null && Futures.toAlderyardException(failure).code() == ErrorCode.OVERLOADED;
     if (failure != null && !rejectedByServer && noConnectionAvailable(failure)) {
       permit.endUnsent();
       loads.cancel(server);
@@ -129,7 +130,10 @@
     }
     if (loads.recordFailure(server)) {
       metrics.recordEjection();
-      log.warn("event=eject server={} reason={}", server.id(), Futures.typed(failure).code());
+      log.warn(
+          "event=eject server={} reason={}",
+          server.id(),
+          Futures.toAlderyardException(failure).code());
     }
   }
 
@@ -138,7 +142,7 @@
    * server.
    */
   private static boolean noConnectionAvailable(Throwable failure) {
-    ErrorCode code = Futures.typed(failure).code();
+    ErrorCode code = Futures.toAlderyardException(failure).code();
     return code == ErrorCode.OVERLOADED || code == ErrorCode.NO_ELIGIBLE_SERVER;
   }
 }
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/session/SessionState.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/session/SessionState.java
@@ -100,7 +100,7 @@
     LinkedHashMap<GroupId, Position> updated = new LinkedHashMap<>(positions);
     Position current = updated.remove(group.id());
     boolean keepCurrent =
-        current != null && (group.lost(current) || current.compareTo(observed) > 0);
+        current != null && (group.isLost(current) || current.compareTo(observed) > 0);
     updated.put(group.id(), keepCurrent ? current : observed);
     return new SessionState(pool, updated, folded);
   }
@@ -190,7 +190,7 @@
               + " and will be updated",
           VIEW_RETRY_AFTER_MILLIS);
     }
-    if (group.lost(current)) {
+    if (group.isLost(current)) {
       throw AlderyardException.notRun(
           ErrorCode.SESSION_TAIL_LOST,
           "group "
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/transaction/TransactionService.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/transaction/TransactionService.java
@@ -107,7 +107,7 @@
             (ignored, failure) -> {
               if (failure != null) {
                 pools.release(target.primary(), connection);
-                throw beginFailed(Futures.typed(failure));
+                throw beginFailed(Futures.toAlderyardException(failure));
               }
               TransactionId id = new TransactionId(self, incarnation, random.nextLong());
               table.add(
@@ -152,12 +152,12 @@
 
   private AlderyardException statementFailed(
       TransactionId id, OpenTransaction transaction, Throwable failure) {
-    AlderyardException typed = Futures.typed(failure);
-    if (typed instanceof BackendException && transaction.connection().usable()) {
-      return typed;
+    AlderyardException error = Futures.toAlderyardException(failure);
+    if (error instanceof BackendException && transaction.connection().usable()) {
+      return error;
     }
     end(id, transaction, TransactionEnd.Kind.CONNECTION_BROKE);
-    return transactionLost("its connection broke: " + typed.getMessage());
+    return transactionLost("its connection broke: " + error.getMessage());
   }
 
   /**
@@ -191,7 +191,7 @@
         .whenComplete(
             (answer, failure) -> {
               if (failure != null) {
-                recordCommitFailure(id, Futures.typed(failure));
+                recordCommitFailure(id, Futures.toAlderyardException(failure));
               }
               transaction.ended().complete(null);
             });
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/view/ViewClient.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/view/ViewClient.java
@@ -135,14 +135,15 @@
     fetched.whenComplete(
         (reply, failure) -> {
           if (failure == null && accept(reply)) {
-            fetches.worked();
+            fetches.recordSuccess();
             needsLeader = false;
             workers.execute(this::fetch);
             return;
           }
           if (failure != null) {
-            fetches.failed(Futures.typed(failure));
-            if (!needsLeader && Futures.typed(failure).code() == ErrorCode.NOT_LEADER) {
+            fetches.recordFailure(Futures.toAlderyardException(failure));
+            if (!needsLeader
+                && Futures.toAlderyardException(failure).code() == ErrorCode.NOT_LEADER) {
               needsLeader = true;
               workers.execute(this::fetch);
               return;
@@ -219,7 +220,7 @@
 
   private void onHeartbeatReply(long sentMillis, HeartbeatReply reply, Throwable failure) {
     if (failure == null) {
-      heartbeats.worked();
+      heartbeats.recordSuccess();
       notifyIfLeaseLapsed();
       lease.recordConfirmation(
           StateCodec.version(reply.getCurrent()),
@@ -227,7 +228,7 @@
           reply.getLeaseMillis(),
           clock.nowMillis());
     } else {
-      heartbeats.failed(Futures.typed(failure));
+      heartbeats.recordFailure(Futures.toAlderyardException(failure));
     }
     boolean sendAnother;
     synchronized (lock) {
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/watch/WatcherService.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/watch/WatcherService.java
@@ -122,7 +122,7 @@
     watches.keySet().removeIf(group -> view.group(group).isEmpty());
     for (GroupState group : view.groups().values()) {
       boolean watchedHere =
-          group.primary().isPresent() && assignment.watches(self, group.id(), view.hosts());
+          group.primary().isPresent() && assignment.isWatcher(self, group.id(), view.hosts());
       PrimaryWatch existing = watches.get(group.id());
       if (!watchedHere) {
         watches.remove(group.id());
@@ -154,7 +154,8 @@
     long nowMillis = clock.nowMillis();
     synchronized (lock) {
       if (failure != null) {
-        boolean timedOut = Futures.typed(failure).code() == ErrorCode.DEADLINE_EXCEEDED;
+        boolean timedOut =
+            Futures.toAlderyardException(failure).code() == ErrorCode.DEADLINE_EXCEEDED;
         if (timedOut) {
           watch.recordTimeout(sentMillis, nowMillis);
         } else {
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/write/WriteRun.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/write/WriteRun.java
@@ -51,7 +51,7 @@
         .whenComplete(
             (target, failure) -> {
               if (failure != null) {
-                giveUp(Futures.typed(failure), RetryReason.NO_TIME);
+                giveUp(Futures.toAlderyardException(failure), RetryReason.NO_TIME);
               } else {
                 send(target);
               }
@@ -78,7 +78,7 @@
               if (failure == null) {
                 result.complete(answer);
               } else {
-                handleFailure(Futures.typed(failure), target);
+                handleFailure(Futures.toAlderyardException(failure), target);
               }
             });
     context
@@ -130,7 +130,7 @@
   private static void releasePermit(WriteAdmission.Permit permit, Throwable failure) {
     if (failure == null || Futures.unwrap(failure) instanceof BackendException) {
       permit.release(true);
-    } else if (Futures.typed(failure).outcome() == Outcome.NOT_RUN) {
+    } else if (Futures.toAlderyardException(failure).outcome() == Outcome.NOT_RUN) {
       permit.releaseUnsent();
     } else {
       permit.release(false);
@@ -176,7 +176,7 @@
         request.ledgerKey().isPresent() && context.hasServerLedger().test(request.group());
     RetryDecision decision =
         RetryPolicy.decide(
-            failure, ledgerDeduplicates, !deadline.over(context.clock()), context.permits());
+            failure, ledgerDeduplicates, !deadline.isExpired(context.clock()), context.permits());
     mayHaveRun |= failure.outcome() == Outcome.OUTCOME_UNKNOWN;
     switch (decision.action()) {
       case GIVE_UP -> giveUp(failure, decision.reason());
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/ledger/OwnerLedgerTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/ledger/OwnerLedgerTest.java
@@ -246,6 +246,6 @@
   }
 
   private static AlderyardException failureOf(CompletableFuture<WriteAnswer> write) {
-    return Futures.typed(assertThrows(CompletionException.class, write::join));
+    return Futures.toAlderyardException(assertThrows(CompletionException.class, write::join));
   }
 }
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/limit/ServerLimiterTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/limit/ServerLimiterTest.java
@@ -20,7 +20,7 @@
 import org.alderyard.common.error.Outcome;
 import org.alderyard.common.id.PoolName;
 import org.alderyard.common.id.ServerId;
-import org.alderyard.common.time.PausedClock;
+import org.alderyard.common.time.ManualClock;
 import org.alderyard.proxy.pool.PacedConnector;
 import org.junit.jupiter.api.Test;
 
@@ -162,7 +162,7 @@
 
   @Test
   void permitEndsOnceAndRefusalIsTyped() {
-    PausedClock clock = new PausedClock();
+    ManualClock clock = new ManualClock();
     List<RefusalReason> refusals = new ArrayList<>();
     ServerLimiters limiters =
         new ServerLimiters(
@@ -179,7 +179,7 @@
     CompletableFuture<ServerLimiters.Permit> third =
         limiters.acquire(server, 1, false, PACKER, false, FAR_DEADLINE);
     Throwable failure = assertThrows(CompletionException.class, third::join);
-    assertThat(Futures.typed(failure).outcome()).isEqualTo(Outcome.NOT_RUN);
+    assertThat(Futures.toAlderyardException(failure).outcome()).isEqualTo(Outcome.NOT_RUN);
     assertThat(refusals).containsExactly(RefusalReason.QUEUE_FULL);
     clock.advance(Duration.ofMillis(10));
     first.end(true);
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/monitor/GroupMonitorTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/monitor/GroupMonitorTest.java
@@ -18,7 +18,7 @@
 import org.alderyard.common.id.Position;
 import org.alderyard.common.id.ServerId;
 import org.alderyard.common.id.ZoneName;
-import org.alderyard.common.time.PausedClock;
+import org.alderyard.common.time.ManualClock;
 import org.alderyard.common.view.GroupState;
 import org.alderyard.common.view.ServerState;
 import org.alderyard.common.view.ServerStatus;
@@ -34,7 +34,7 @@
   private static final GroupId BUSY = new GroupId("busy");
   private static final GroupId IDLE = new GroupId("quiet");
 
-  private final PausedClock clock = new PausedClock();
+  private final ManualClock clock = new ManualClock();
   private final CountingAdmin admin = new CountingAdmin();
   private final ViewHolder views = new ViewHolder();
   private final GroupMonitor monitor =
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/pool/FullServerTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/pool/FullServerTest.java
@@ -58,7 +58,8 @@
     assertThat(connectAttempts).isAtMost(10);
     for (CompletableFuture<SessionConnection> request : requests) {
       Throwable failure = request.handle((connection, error) -> error).join();
-      assertThat(Futures.typed(failure).code()).isEqualTo(ErrorCode.NO_ELIGIBLE_SERVER);
+      assertThat(Futures.toAlderyardException(failure).code())
+          .isEqualTo(ErrorCode.NO_ELIGIBLE_SERVER);
     }
   }
 
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/pool/ServerPoolsTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/pool/ServerPoolsTest.java
@@ -24,7 +24,7 @@
 import org.alderyard.common.id.GroupId;
 import org.alderyard.common.id.ServerId;
 import org.alderyard.common.id.ZoneName;
-import org.alderyard.common.time.PausedClock;
+import org.alderyard.common.time.ManualClock;
 import org.alderyard.common.view.ServerState;
 import org.alderyard.common.view.ServerStatus;
 import org.junit.jupiter.api.Test;
@@ -45,7 +45,7 @@
   }
 
   private static AlderyardException failure(CompletableFuture<?> future) {
-    return Futures.typed(future.handle((value, failure) -> failure).join());
+    return Futures.toAlderyardException(future.handle((value, failure) -> failure).join());
   }
 
   @Test
@@ -134,7 +134,7 @@
    */
   @Test
   void connectionsBeyondTheBurstAreDelayed() {
-    PausedClock clock = new PausedClock();
+    ManualClock clock = new ManualClock();
     FakeServer server = new FakeServer(10);
     try (WorkerPool workers = new WorkerPool("test", 1)) {
       PacedConnector paced =
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/routing/ReadRouterTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/routing/ReadRouterTest.java
@@ -21,7 +21,7 @@
 import org.alderyard.common.id.Position;
 import org.alderyard.common.id.ServerId;
 import org.alderyard.common.id.ZoneName;
-import org.alderyard.common.time.PausedClock;
+import org.alderyard.common.time.ManualClock;
 import org.alderyard.common.view.GroupState;
 import org.alderyard.common.view.ServerState;
 import org.alderyard.common.view.ServerStatus;
@@ -222,7 +222,7 @@
    */
   @Test
   void ejectionIsCappedAndEndsWithSlowStart() {
-    PausedClock clock = new PausedClock();
+    ManualClock clock = new ManualClock();
     ServerLoads loads = new ServerLoads(clock);
     TreeSet<ServerId> ejected = new TreeSet<>();
     for (ServerState server : List.of(primary, near, far)) {
@@ -252,7 +252,7 @@
    */
   @Test
   void statementsOfEarlierIncarnationAreNotCounted() {
-    ServerLoads loads = new ServerLoads(new PausedClock());
+    ServerLoads loads = new ServerLoads(new ManualClock());
     loads.begin(near);
     ServerState restarted =
         new ServerState(near.id(), 2, GROUP, near.zone(), near.address(), ServerStatus.ACTIVE);
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/transaction/TransactionServiceTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/transaction/TransactionServiceTest.java
@@ -19,7 +19,7 @@
 import org.alderyard.common.error.Outcome;
 import org.alderyard.common.id.CallerId;
 import org.alderyard.common.id.HostId;
-import org.alderyard.common.time.PausedClock;
+import org.alderyard.common.time.ManualClock;
 import org.alderyard.common.view.WriteAcknowledgement;
 import org.alderyard.proxy.limit.RetryBudget;
 import org.alderyard.proxy.pool.ServerPools;
@@ -42,7 +42,7 @@
       AlderyardException.unknown(ErrorCode.CONNECTION_LOST, "broken", null);
 
   private final WorkerPool workers = new WorkerPool("test", 1);
-  private final PausedClock clock = new PausedClock();
+  private final ManualClock clock = new ManualClock();
   private final TestGroup group = new TestGroup();
   private final FakeServers servers = new FakeServers();
   private final ServerPools pools = new ServerPools(servers);
@@ -178,6 +178,7 @@
   }
 
   private static AlderyardException failureOf(Supplier<CompletableFuture<?>> request) {
-    return Futures.typed(assertThrows(RuntimeException.class, () -> request.get().join()));
+    return Futures.toAlderyardException(
+        assertThrows(RuntimeException.class, () -> request.get().join()));
   }
 }
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/view/PoolLookupTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/view/PoolLookupTest.java
@@ -25,7 +25,7 @@
     AlderyardException unknown = unknown(false);
 
     assertThat(unknown.code()).isEqualTo(ErrorCode.VIEW_LEASE_EXPIRED);
-    assertThat(unknown.code().blamesRequest()).isFalse();
+    assertThat(unknown.code().isRequestFault()).isFalse();
     assertThat(unknown.outcome()).isEqualTo(Outcome.NOT_RUN);
   }
 
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/watch/PrimaryWatchTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/watch/PrimaryWatchTest.java
@@ -191,7 +191,7 @@
         assertThat(assignment.watchers(group, remaining.values())).isEqualTo(watchers);
       }
       for (HostId host : hosts.keySet()) {
-        assertThat(assignment.watches(host, group, hosts)).isEqualTo(watchers.contains(host));
+        assertThat(assignment.isWatcher(host, group, hosts)).isEqualTo(watchers.contains(host));
       }
     }
   }
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/write/MajorityAcknowledgerTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/write/MajorityAcknowledgerTest.java
@@ -133,6 +133,6 @@
   }
 
   private static AlderyardException failureOf(CompletableFuture<Void> write) {
-    return Futures.typed(assertThrows(CompletionException.class, write::join));
+    return Futures.toAlderyardException(assertThrows(CompletionException.class, write::join));
   }
 }
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/write/WritePathTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/write/WritePathTest.java
@@ -258,6 +258,6 @@
   }
 
   private static AlderyardException failureOf(CompletableFuture<WriteAnswer> write) {
-    return Futures.typed(assertThrows(CompletionException.class, write::join));
+    return Futures.toAlderyardException(assertThrows(CompletionException.class, write::join));
   }
 }
--- a/alderyard-testkit/src/test/java/org/alderyard/testkit/standin/AnswerFaultsTest.java
+++ b/alderyard-testkit/src/test/java/org/alderyard/testkit/standin/AnswerFaultsTest.java
@@ -148,6 +148,6 @@
   }
 
   private static AlderyardException failureOf(CompletableFuture<BackendAnswer> answer) {
-    return Futures.typed(assertThrows(CompletionException.class, answer::join));
+    return Futures.toAlderyardException(assertThrows(CompletionException.class, answer::join));
   }
 }
