--- a/alderyard-backend/src/main/java/org/alderyard/backend/BackendAnswer.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/BackendResponse.java
@@ -10,4 +10,4 @@
  * @param position the position of the server's log after the statement; for a write, that of its
  *     entry
  */
-public record BackendAnswer(JsonNode result, Position position) {}
+public record BackendResponse(JsonNode result, Position position) {}
--- a/alderyard-backend/src/main/java/org/alderyard/backend/ServerAdmin.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/ServerAdmin.java
@@ -18,7 +18,7 @@
    *     when {@code wait} has elapsed, whichever comes first
    */
   CompletableFuture<ServerReport> awaitPosition(
-      InetSocketAddress server, Position position, Progress progress, Duration wait);
+      InetSocketAddress server, Position position, LogProgress progress, Duration wait);
 
   /** Makes the server refuse writes and replication of lower terms; returns its new state. */
   CompletableFuture<ServerReport> fence(InetSocketAddress server, long term, Duration timeout);
--- a/alderyard-backend/src/main/java/org/alderyard/backend/ServerConnection.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/ServerConnection.java
@@ -12,13 +12,13 @@
 public interface ServerConnection extends PooledConnection {
 
   /** Runs a statement, within the transaction of this connection if one is open. */
-  CompletableFuture<BackendAnswer> run(BackendStatement statement, Duration timeout);
+  CompletableFuture<BackendResponse> run(BackendStatement statement, Duration timeout);
 
   /** Opens a transaction on this connection. */
   CompletableFuture<Void> begin(long term, Duration timeout);
 
   /** Commits the transaction and returns a response with the position of its last log entry. */
-  CompletableFuture<BackendAnswer> commit(Duration timeout);
+  CompletableFuture<BackendResponse> commit(Duration timeout);
 
   /** Rolls back the transaction. */
   CompletableFuture<Void> rollback(Duration timeout);
--- a/alderyard-backend/src/main/java/org/alderyard/backend/http/BackendJson.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/http/BackendJson.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Optional;
-import org.alderyard.backend.BackendAnswer;
 import org.alderyard.backend.BackendException;
+import org.alderyard.backend.BackendResponse;
 import org.alderyard.backend.BackendStatement;
 import org.alderyard.backend.LedgerKey;
 import org.alderyard.backend.ServerReport;
@@ -55,7 +55,7 @@
   }
 
   /** Serializes a body. */
-  public static byte[] bytes(JsonNode node) {
+  public static byte[] serialize(JsonNode node) {
     try {
       return MAPPER.writeValueAsBytes(node);
     } catch (JsonProcessingException exception) {
@@ -103,19 +103,19 @@
   }
 
   /** Encodes the response to a statement. */
-  public static ObjectNode answer(BackendAnswer answer) {
+  public static ObjectNode response(BackendResponse response) {
     ObjectNode node = object();
-    node.set("result", answer.result());
-    node.set("position", position(answer.position()));
+    node.set("result", response.result());
+    node.set("position", position(response.position()));
     return node;
   }
 
   /** Decodes the response to a statement; throws if the body has no position. */
-  public static BackendAnswer answer(JsonNode node) {
+  public static BackendResponse response(JsonNode node) {
     if (!node.has("position")) {
       throw malformedBody("the response has no position");
     }
-    return new BackendAnswer(node.path("result"), position(node.path("position")));
+    return new BackendResponse(node.path("result"), position(node.path("position")));
   }
 
   private static ObjectNode position(Position position) {
--- a/alderyard-backend/src/main/java/org/alderyard/backend/http/BackendPaths.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/http/BackendPaths.java
@@ -5,7 +5,7 @@
 /** Paths and headers of the backend protocol. */
 public final class BackendPaths {
   /** Header with the number of a request on its connection; the response repeats it. */
-  public static final HttpString REQUEST_NUMBER = new HttpString("Alderyard-Request");
+  public static final HttpString REQUEST_NUMBER_HEADER = new HttpString("Alderyard-Request");
 
   /** Runs a statement. */
   public static final String STATEMENTS = "/v1/statements";
--- a/alderyard-backend/src/main/java/org/alderyard/backend/http/HttpExchange.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/http/HttpExchange.java
@@ -44,12 +44,12 @@
 
   /** Sends a request; the future holds a JSON object or fails with an AlderyardException. */
   CompletableFuture<JsonNode> send(String path, Optional<JsonNode> body) {
-    byte[] content = body.map(BackendJson::bytes).orElse(new byte[0]);
+    byte[] content = body.map(BackendJson::serialize).orElse(new byte[0]);
     ClientRequest request =
         new ClientRequest().setPath(path).setMethod(body.isPresent() ? Methods.POST : Methods.GET);
     HeaderMap headers = request.getRequestHeaders();
     headers.put(Headers.HOST, connection.getPeerAddress().toString().replaceFirst("^.*/", ""));
-    headers.put(BackendPaths.REQUEST_NUMBER, requestNumber);
+    headers.put(BackendPaths.REQUEST_NUMBER_HEADER, requestNumber);
     if (body.isPresent()) {
       headers.put(Headers.CONTENT_TYPE, "application/json");
       headers.put(Headers.CONTENT_LENGTH, content.length);
@@ -105,7 +105,7 @@
 
   private void onResponse(ClientExchange exchange) {
     if (!requestNumber.equals(
-        exchange.getResponse().getResponseHeaders().getFirst(BackendPaths.REQUEST_NUMBER))) {
+        exchange.getResponse().getResponseHeaders().getFirst(BackendPaths.REQUEST_NUMBER_HEADER))) {
       failMismatchedResponse();
       return;
     }
--- a/alderyard-backend/src/main/java/org/alderyard/backend/http/HttpServerAdmin.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/http/HttpServerAdmin.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.function.Function;
-import org.alderyard.backend.Progress;
+import org.alderyard.backend.LogProgress;
 import org.alderyard.backend.ServerAdmin;
 import org.alderyard.backend.ServerReport;
 import org.alderyard.common.id.Position;
@@ -36,7 +36,7 @@
 
   @Override
   public CompletableFuture<ServerReport> awaitPosition(
-      InetSocketAddress server, Position position, Progress progress, Duration wait) {
+      InetSocketAddress server, Position position, LogProgress progress, Duration wait) {
     JsonNode body =
         BackendJson.object()
             .put("term", position.term())
--- a/alderyard-backend/src/main/java/org/alderyard/backend/http/HttpServerConnection.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/http/HttpServerConnection.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicLong;
-import org.alderyard.backend.BackendAnswer;
 import org.alderyard.backend.BackendException;
+import org.alderyard.backend.BackendResponse;
 import org.alderyard.backend.BackendStatement;
 import org.alderyard.backend.ServerConnection;
 import org.alderyard.common.concurrent.Futures;
@@ -45,9 +45,9 @@
   }
 
   @Override
-  public CompletableFuture<BackendAnswer> run(BackendStatement statement, Duration timeout) {
+  public CompletableFuture<BackendResponse> run(BackendStatement statement, Duration timeout) {
     return post(BackendPaths.STATEMENTS, BackendJson.statement(statement), timeout)
-        .thenApply(BackendJson::answer);
+        .thenApply(BackendJson::response);
   }
 
   @Override
@@ -57,8 +57,9 @@
   }
 
   @Override
-  public CompletableFuture<BackendAnswer> commit(Duration timeout) {
-    return post(BackendPaths.COMMIT, BackendJson.object(), timeout).thenApply(BackendJson::answer);
+  public CompletableFuture<BackendResponse> commit(Duration timeout) {
+    return post(BackendPaths.COMMIT, BackendJson.object(), timeout)
+        .thenApply(BackendJson::response);
   }
 
   @Override
--- a/alderyard-backend/src/main/java/org/alderyard/backend/session/ServerStanding.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/session/ReplicationStatus.java
@@ -11,10 +11,10 @@
  * @param received the position up to which the server's log holds the primary's writes
  * @param lagMillis replication lag of the server's reads
  */
-public record ServerStanding(boolean primary, long term, Position received, long lagMillis) {
+public record ReplicationStatus(boolean primary, long term, Position received, long lagMillis) {
 
   /** Rejects null components. */
-  public ServerStanding {
+  public ReplicationStatus {
     Objects.requireNonNull(received);
   }
 }
--- a/alderyard-backend/src/main/java/org/alderyard/backend/session/StandingProbe.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/session/ReplicationStatusProbe.java
@@ -6,8 +6,8 @@
 
 /** Queries a server's role and replication state, at the cost of one statement. */
 @FunctionalInterface
-public interface StandingProbe {
+public interface ReplicationStatusProbe {
 
   /** Queries on a dedicated connection, so that busy pools do not delay a failover. */
-  CompletableFuture<ServerStanding> ask(ServerState server, Duration timeout);
+  CompletableFuture<ReplicationStatus> probe(ServerState server, Duration timeout);
 }
--- a/alderyard-backend/src/main/java/org/alderyard/backend/session/SessionReply.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/session/SessionReply.java
@@ -31,7 +31,7 @@
   }
 
   /** Returns a successful reply that no backend server was involved in. */
-  public static SessionReply done(TransactionState state) {
+  public static SessionReply success(TransactionState state) {
     return new SessionReply(List.of(), Optional.empty(), Optional.empty(), state, Optional.empty());
   }
 
@@ -52,7 +52,7 @@
   }
 
   /** Returns this reply with the state of the caller's session, which may differ. */
-  public SessionReply inState(TransactionState other) {
+  public SessionReply withState(TransactionState other) {
     return new SessionReply(rows, proof, refusal, other, position);
   }
 }
--- a/alderyard-backend/src/main/java/org/alderyard/backend/session/SessionRequest.java
+++ b/alderyard-backend/src/main/java/org/alderyard/backend/session/SessionRequest.java
@@ -22,7 +22,7 @@
   }
 
   /** Returns an internal request, which has no caller id. */
-  public static SessionRequest own(SessionStatement statement) {
+  public static SessionRequest internal(SessionStatement statement) {
     return new SessionRequest(Optional.empty(), Optional.empty(), statement);
   }
 
--- a/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/capacity/StatementCost.java
+++ b/alderyard-benchmarks/src/main/java/org/alderyard/benchmarks/capacity/StatementCost.java
@@ -9,7 +9,7 @@
 import org.alderyard.cli.load.LoadPlan;
 import org.alderyard.cli.load.LoadReport;
 import org.alderyard.cli.load.LoadRun;
-import org.alderyard.cli.load.Mix;
+import org.alderyard.cli.load.WorkloadMix;
 import org.alderyard.common.time.MonotonicClock;
 
 /**
@@ -69,7 +69,7 @@
         new LoadPlan(
             List.of(proxy),
             pool,
-            Mix.BRAZOS,
+            WorkloadMix.BRAZOS,
             rate,
             Duration.ofSeconds(SECONDS),
             KEYS,
--- a/alderyard-cli/src/main/java/org/alderyard/cli/demo/DemoCommand.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/demo/DemoCommand.java
@@ -20,7 +20,7 @@
 import org.alderyard.cli.load.LoadPlan;
 import org.alderyard.cli.load.LoadReport;
 import org.alderyard.cli.load.LoadRun;
-import org.alderyard.cli.load.Mix;
+import org.alderyard.cli.load.WorkloadMix;
 import org.alderyard.cli.local.LocalSystem;
 import org.alderyard.cli.local.SystemPlan;
 import org.alderyard.common.time.MonotonicClock;
@@ -77,10 +77,10 @@
     Duration duration = Duration.ofSeconds(seconds);
     final CompletableFuture<LoadReport> listings =
         CompletableFuture.supplyAsync(
-            () -> load(system, LocalSystem.POOLS.get(0), Mix.BRAZOS, duration, rate, 1));
+            () -> load(system, LocalSystem.POOLS.get(0), WorkloadMix.BRAZOS, duration, rate, 1));
     final CompletableFuture<LoadReport> orders =
         CompletableFuture.supplyAsync(
-            () -> load(system, LocalSystem.POOLS.get(1), Mix.LE_GOFF, duration, rate, 2));
+            () -> load(system, LocalSystem.POOLS.get(1), WorkloadMix.LE_GOFF, duration, rate, 2));
     LockSupport.parkNanos(duration.dividedBy(2).toNanos());
     String group = SYSTEM_PLAN.groups().get(0);
     String primary = system.awaitPrimaryOf(group);
@@ -90,7 +90,7 @@
   }
 
   private static LoadReport load(
-      LocalSystem system, String pool, Mix mix, Duration duration, int rate, long seed) {
+      LocalSystem system, String pool, WorkloadMix mix, Duration duration, int rate, long seed) {
     LoadPlan plan =
         new LoadPlan(
             system.callerPorts(), pool, mix, rate, duration, KEY_COUNT, seed, REQUEST_DEADLINE);
@@ -117,7 +117,7 @@
             + " ms; new primary: "
             + system.primaryOf(group).orElse("none"));
     boolean servedAllGroups = servesAllGroups(listings) && servesAllGroups(orders);
-    boolean passed = listings.clean() && orders.clean() && replaced && servedAllGroups;
+    boolean passed = listings.isClean() && orders.isClean() && replaced && servedAllGroups;
     out.println(passed ? "PASSED: no violation" : "FAILED");
     return passed;
   }
--- a/alderyard-cli/src/main/java/org/alderyard/cli/load/CallerSession.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/load/CallerSession.java
@@ -58,7 +58,7 @@
    * @param arrivalNanos scheduled arrival from which latency is measured, even if the request is
    *     sent later
    */
-  CompletableFuture<Void> run(Mix.Action action, String key, long arrivalNanos) {
+  CompletableFuture<Void> run(WorkloadMix.Action action, String key, long arrivalNanos) {
     return switch (action) {
       case BROWSE -> read(key, true, arrivalNanos);
       case SESSION_READ -> read(key, false, arrivalNanos);
--- a/alderyard-cli/src/main/java/org/alderyard/cli/load/LoadCommand.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/load/LoadCommand.java
@@ -59,8 +59,8 @@
             parse(invocation, "proxies", SettingTypes.list(SettingTypes.address())),
             invocation.requiredOption("pool"),
             invocation.hasOption("mix")
-                ? parse(invocation, "mix", SettingTypes.word(Mix.class))
-                : Mix.BRAZOS,
+                ? parse(invocation, "mix", SettingTypes.word(WorkloadMix.class))
+                : WorkloadMix.BRAZOS,
             (int) invocation.numberOption("rate", 200, 1, 100_000),
             Duration.ofSeconds(invocation.numberOption("seconds", 10, 1, 86_400)),
             (int) invocation.numberOption("keys", 500, 1, 1_000_000),
@@ -72,14 +72,15 @@
         .ifPresent(file -> write(Path.of(file), Json.bytes(report.toJson())));
     invocation
         .option("trace")
-        .ifPresent(file -> write(Path.of(file), report.trace().getBytes(StandardCharsets.UTF_8)));
+        .ifPresent(
+            file -> write(Path.of(file), report.latencyTrace().getBytes(StandardCharsets.UTF_8)));
     invocation
         .out()
         .println(
             invocation.hasOption(CommonOptions.JSON)
                 ? Json.pretty(report.toJson())
                 : report.toText());
-    return report.clean() ? ExitCode.OK : ExitCode.FAILED;
+    return report.isClean() ? ExitCode.OK : ExitCode.FAILED;
   }
 
   private static <T> T parse(Invocation invocation, String option, SettingType<T> type) {
--- a/alderyard-cli/src/main/java/org/alderyard/cli/load/LoadPlan.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/load/LoadPlan.java
@@ -21,7 +21,7 @@
 public record LoadPlan(
     List<InetSocketAddress> proxies,
     String pool,
-    Mix mix,
+    WorkloadMix mix,
     int ratePerSecond,
     Duration duration,
     int keys,
--- a/alderyard-cli/src/main/java/org/alderyard/cli/load/LoadReport.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/load/LoadReport.java
@@ -23,7 +23,7 @@
  * @param writeMicros latencies of acknowledged writes, from arrival
  * @param longestWriteGapMillis longest time between consecutive acknowledged writes, by group
  * @param errors error count by code, including errors resolved by a retry
- * @param violations promise violations in the history
+ * @param violations guarantee violations in the history
  * @param unreadKeys number of keys left unchecked because the final list could not be read
  */
 public record LoadReport(
@@ -41,12 +41,12 @@
   private static final int MAX_PRINTED_VIOLATIONS = 20;
 
   /** Returns whether the run has no violations and no unchecked keys. */
-  public boolean clean() {
+  public boolean isClean() {
     return violations.isEmpty() && unreadKeys == 0;
   }
 
   /** Returns the latency of each successful request in microseconds, one per line. */
-  public String trace() {
+  public String latencyTrace() {
     return operations.stream()
         .filter(operation -> operation.result() == Result.OK)
         .map(operation -> Long.toString((operation.endNanos() - operation.startNanos()) / 1_000))
@@ -84,7 +84,7 @@
     violations.forEach(
         violation ->
             list.addObject()
-                .put("promise", violation.promise().name())
+                .put("promise", violation.guarantee().name())
                 .put("key", violation.key())
                 .put("detail", violation.detail()));
     return node;
@@ -140,7 +140,7 @@
             violation ->
                 appendLine(
                     text,
-                    "  " + violation.promise(),
+                    "  " + violation.guarantee(),
                     "key %s, %s",
                     violation.key(),
                     violation.detail()));
--- a/alderyard-cli/src/main/java/org/alderyard/cli/load/LoadRun.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/load/LoadRun.java
@@ -101,7 +101,7 @@
 
   private void start(WorkerPool workers, long arrivalNanos) {
     CallerSession session = acquireSession(workers);
-    Mix.Action action = plan.mix().next(random);
+    WorkloadMix.Action action = plan.mix().next(random);
     String key = "key-" + plan.seed() + "-" + random.nextInt(plan.keys());
     usedKeys.add(key);
     inFlight.incrementAndGet();
--- a/alderyard-cli/src/main/java/org/alderyard/cli/load/Mix.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/load/WorkloadMix.java
@@ -3,7 +3,7 @@
 import java.util.random.RandomGenerator;
 
 /** The proportions of actions in a workload. */
-public enum Mix {
+public enum WorkloadMix {
   /** Seminar listings: mostly browsing, with a few changes that are immediately read back. */
   BRAZOS(95, 2, 3),
   /** Orders: half of the actions are writes that must run exactly once. */
@@ -14,7 +14,7 @@
   private final int browsePercent;
   private final int sessionReadPercent;
 
-  Mix(int browsePercent, int sessionReadPercent, int writePercent) {
+  WorkloadMix(int browsePercent, int sessionReadPercent, int writePercent) {
     if (browsePercent + sessionReadPercent + writePercent != PERCENT) {
       throw new IllegalArgumentException("percentages of a workload must add up to 100");
     }
--- a/alderyard-cli/src/main/java/org/alderyard/cli/prove/Experiment.java
+++ b/alderyard-cli/src/main/java/org/alderyard/cli/prove/Experiment.java
@@ -12,13 +12,13 @@
 import org.alderyard.cli.load.LoadPlan;
 import org.alderyard.cli.load.LoadReport;
 import org.alderyard.cli.load.LoadRun;
-import org.alderyard.cli.load.Mix;
+import org.alderyard.cli.load.WorkloadMix;
 import org.alderyard.cli.local.LocalSystem;
 import org.alderyard.common.time.MonotonicClock;
 import org.alderyard.testkit.history.Operation;
 import org.alderyard.testkit.history.Operation.Kind;
 import org.alderyard.testkit.history.Operation.Result;
-import org.alderyard.testkit.history.Violation.Promise;
+import org.alderyard.testkit.history.Violation.Guarantee;
 
 /** Generates load on a system, injects faults one after the other, and counts violations. */
 final class Experiment {
@@ -52,8 +52,10 @@
   }
 
   PromiseReport run() {
-    final CompletableFuture<LoadReport> listings = load(LocalSystem.POOLS.get(0), Mix.BRAZOS, 1);
-    final CompletableFuture<LoadReport> orders = load(LocalSystem.POOLS.get(1), Mix.LE_GOFF, 2);
+    final CompletableFuture<LoadReport> listings =
+        load(LocalSystem.POOLS.get(0), WorkloadMix.BRAZOS, 1);
+    final CompletableFuture<LoadReport> orders =
+        load(LocalSystem.POOLS.get(1), WorkloadMix.LE_GOFF, 2);
     TransactionLoad transactions = new TransactionLoad(system);
     transactions.start(TRANSACTION_CALLERS);
     FaultContext context = new FaultContext(new SplittableRandom(seed), clock);
@@ -62,7 +64,7 @@
     return report(List.of(listings.join(), orders.join()), transactionResult, context);
   }
 
-  private CompletableFuture<LoadReport> load(String pool, Mix mix, int number) {
+  private CompletableFuture<LoadReport> load(String pool, WorkloadMix mix, int number) {
     LoadPlan plan =
         new LoadPlan(
             system.callerPorts(),
@@ -97,15 +99,15 @@
             "a session reads its own writes on any proxy",
             "each read of a session goes through a different proxy than the previous read",
             count(loads, o -> ok(o, Kind.READ) && o.maxStalenessMillis().isEmpty()),
-            Promise.READ_YOUR_WRITES,
-            Promise.MONOTONIC_READS));
+            Guarantee.READ_YOUR_WRITES,
+            Guarantee.MONOTONIC_READS));
     rows.add(
         toRow(
             loads,
             "no write is acknowledged by a replaced primary",
             "acknowledged writes are verified after primaries are killed, paused and cut off",
             count(loads, o -> ok(o, Kind.APPEND)),
-            Promise.NO_WRITE_LOST));
+            Guarantee.NO_WRITE_LOST));
     rows.add(
         new PromiseRow(
             "statements of two transactions never mix",
@@ -118,21 +120,21 @@
             "each caller gets the whole answer to its own request",
             "responses are lost, delayed, or sent by servers that resume after a pause",
             count(loads, o -> ok(o, Kind.READ)),
-            Promise.OWN_ANSWER));
+            Guarantee.OWN_ANSWER));
     rows.add(
         toRow(
             loads,
             "a request refused as not run did not run",
             "the final lists are searched for the values of refused writes",
             count(loads, o -> o.kind() == Kind.APPEND && o.result() == Result.NOT_RUN),
-            Promise.NOT_RUN_DID_NOT_RUN));
+            Guarantee.NOT_RUN_DID_NOT_RUN));
     rows.add(
         toRow(
             loads,
             "a write that may not be repeated runs at most once",
             "writes are resent through other proxies after lost responses and killed proxies",
             count(loads, o -> o.kind() == Kind.APPEND),
-            Promise.NO_WRITE_DOUBLED));
+            Guarantee.NO_WRITE_DOUBLED));
     rows.add(
         new PromiseRow(
             "a leaving server gets no new work after 2 s",
@@ -157,7 +159,7 @@
             "a read that accepts an age gets no older data",
             "replicas apply log entries with a lag",
             count(loads, o -> ok(o, Kind.READ) && o.maxStalenessMillis().isPresent()),
-            Promise.BOUNDED_STALENESS));
+            Guarantee.BOUNDED_STALENESS));
     return new PromiseReport(rows, faultCounts, notes(loads, transactions));
   }
 
@@ -184,12 +186,12 @@
       String promise,
       String attackDescription,
       long attempts,
-      Promise... checkedPromises) {
-    List<Promise> promiseList = List.of(checkedPromises);
+      Guarantee... checkedGuarantees) {
+    List<Guarantee> guarantees = List.of(checkedGuarantees);
     long violations =
         loads.stream()
             .flatMap(load -> load.violations().stream())
-            .filter(violation -> promiseList.contains(violation.promise()))
+            .filter(violation -> guarantees.contains(violation.guarantee()))
             .count();
     return new PromiseRow(promise, attackDescription, attempts, violations);
   }
--- a/alderyard-control/src/main/java/org/alderyard/control/promotion/PromotionService.java
+++ b/alderyard-control/src/main/java/org/alderyard/control/promotion/PromotionService.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import org.alderyard.backend.session.ServerStanding;
-import org.alderyard.backend.session.StandingProbe;
+import org.alderyard.backend.session.ReplicationStatus;
+import org.alderyard.backend.session.ReplicationStatusProbe;
 import org.alderyard.common.concurrent.Futures;
 import org.alderyard.common.concurrent.WorkerPool;
 import org.alderyard.common.error.AlderyardException;
@@ -72,7 +72,7 @@
   private final ControlLog controlLog;
   private final HostId self;
   private final Supplier<View> views;
-  private final StandingProbe probe;
+  private final ReplicationStatusProbe probe;
   private final PrimaryPromoter promoter;
   private final WorkerPool workers;
   private final MonotonicClock clock;
@@ -86,7 +86,7 @@
       ControlLog controlLog,
       HostId self,
       Supplier<View> views,
-      StandingProbe probe,
+      ReplicationStatusProbe probe,
       PrimaryPromoter promoter,
       WorkerPool workers,
       MonotonicClock clock) {
@@ -202,13 +202,13 @@
             });
   }
 
-  private record Candidate(ServerState server, ServerStanding standing) {}
+  private record Candidate(ServerState server, ReplicationStatus status) {}
 
   private CompletableFuture<Optional<Candidate>> probeReplica(ServerState server) {
     return probe
-        .ask(server, PROBE_TIMEOUT)
+        .probe(server, PROBE_TIMEOUT)
         .handle(
-            (standing, failure) -> {
+            (status, failure) -> {
               if (failure != null) {
                 log.info(
                     "event=failover-candidate server={} reached=false reason={}",
@@ -220,11 +220,11 @@
                   "event=failover-candidate server={} reached=true primary={} term={} received={}"
                       + " lag-millis={}",
                   server.id(),
-                  standing.primary(),
-                  standing.term(),
-                  standing.received(),
-                  standing.lagMillis());
-              return Optional.of(new Candidate(server, standing));
+                  status.primary(),
+                  status.term(),
+                  status.received(),
+                  status.lagMillis());
+              return Optional.of(new Candidate(server, status));
             });
   }
 
@@ -236,8 +236,8 @@
     Optional<Candidate> bestCandidate =
         candidates.stream()
             .max(
-                Comparator.comparing((Candidate candidate) -> candidate.standing().received())
-                    .thenComparing(candidate -> -candidate.standing().lagMillis()));
+                Comparator.comparing((Candidate candidate) -> candidate.status().received())
+                    .thenComparing(candidate -> -candidate.status().lagMillis()));
     if (bestCandidate.isEmpty()) {
       recordFailedAttempt(group.id(), "no-candidate", null);
       return;
--- a/alderyard-control/src/test/java/org/alderyard/control/promotion/PromotionServiceTest.java
+++ b/alderyard-control/src/test/java/org/alderyard/control/promotion/PromotionServiceTest.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.BooleanSupplier;
-import org.alderyard.backend.session.ServerStanding;
+import org.alderyard.backend.session.ReplicationStatus;
 import org.alderyard.common.concurrent.WorkerPool;
 import org.alderyard.common.error.AlderyardException;
 import org.alderyard.common.error.ErrorCode;
@@ -44,7 +44,7 @@
   private final List<Call> calls = Collections.synchronizedList(new ArrayList<>());
   private final List<PromotionResponse> scriptedResponses =
       Collections.synchronizedList(new ArrayList<>());
-  private final Map<String, ServerStanding> standings = new HashMap<>();
+  private final Map<String, ReplicationStatus> statuses = new HashMap<>();
   private volatile ServerStatus primaryStatus = ServerStatus.ACTIVE;
 
   @AfterEach
@@ -52,8 +52,8 @@
     workers.close();
   }
 
-  private static ServerStanding standing(long index, long lagMillis) {
-    return new ServerStanding(false, 3, new Position(3, index), lagMillis);
+  private static ReplicationStatus status(long index, long lagMillis) {
+    return new ReplicationStatus(false, 3, new Position(3, index), lagMillis);
   }
 
   private View view() {
@@ -82,7 +82,7 @@
             new HostId("h1"),
             this::view,
             (server, timeout) ->
-                Optional.ofNullable(standings.get(server.id().value()))
+                Optional.ofNullable(statuses.get(server.id().value()))
                     .map(CompletableFuture::completedFuture)
                     .orElseGet(
                         () ->
@@ -110,8 +110,8 @@
 
   @Test
   void replicaWithHighestPositionIsChosen() throws Exception {
-    standings.put("s2", standing(10, 0));
-    standings.put("s3", standing(12, 500));
+    statuses.put("s2", status(10, 0));
+    statuses.put("s3", status(12, 500));
     primaryStatus = ServerStatus.LEAVING;
     startService();
 
@@ -123,7 +123,7 @@
   void callWithoutResponseIsRepeatedWithSameToken() throws Exception {
     // Guards against two primaries: the service executes a call, but its response is lost. A new
     // token for another server would appoint a second primary seconds after the first.
-    standings.put("s2", standing(10, 0));
+    statuses.put("s2", status(10, 0));
     scriptedResponses.add(PromotionResponse.UNKNOWN);
     scriptedResponses.add(PromotionResponse.THROTTLED);
     primaryStatus = ServerStatus.GONE;
@@ -135,7 +135,7 @@
 
   @Test
   void refusedCallIsNotRepeatedWithItsToken() throws Exception {
-    standings.put("s2", standing(10, 0));
+    statuses.put("s2", status(10, 0));
     scriptedResponses.add(PromotionResponse.REFUSED);
     primaryStatus = ServerStatus.LEAVING;
     startService();
@@ -146,7 +146,7 @@
 
   @Test
   void activePrimaryIsNotReplaced() throws Exception {
-    standings.put("s2", standing(10, 0));
+    statuses.put("s2", status(10, 0));
     startService();
 
     TimeUnit.MILLISECONDS.sleep(300);
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/ControlStack.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/ControlStack.java
@@ -23,8 +23,8 @@
 import org.alderyard.control.service.ViewFeed;
 import org.alderyard.control.state.ControlState;
 import org.alderyard.platform.PlatformPromoter;
+import org.alderyard.platform.WireReplicationStatusProbe;
 import org.alderyard.platform.WireSessionConnector;
-import org.alderyard.platform.WireStandingProbe;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -144,7 +144,7 @@
                       controlLog,
                       host.settings.host(),
                       state::view,
-                      new WireStandingProbe(new WireSessionConnector(host.loops)),
+                      new WireReplicationStatusProbe(new WireSessionConnector(host.loops)),
                       new PlatformPromoter(address, appointer),
                       host.workers,
                       host.clock);
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/DaemonMain.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/DaemonMain.java
@@ -28,7 +28,7 @@
    */
   public static void main(String[] args) throws InterruptedException {
     LogProvider.install();
-    NoManagementBeans.install();
+    DisabledMbeanServerBuilder.install();
     ExitCode code = run(args, System.out, System.err);
     if (code != ExitCode.OK) {
       System.exit(code.number());
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/DaemonSettings.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/DaemonSettings.java
@@ -65,7 +65,7 @@
     Optional<InetSocketAddress> announcementAddress,
     Optional<InetSocketAddress> operatorAddress,
     List<InetSocketAddress> controlHosts,
-    Optional<OpenClusterOptions> discovery,
+    Optional<DiscoveryOptions> discovery,
     Optional<Path> dataFolder,
     ClusterKey clusterKey,
     Optional<Secret> operatorKey,
@@ -181,13 +181,13 @@
    * Returns the discovery settings. The port of a seed is replaced by this host's inner port, which
    * is the same on all hosts.
    */
-  private static Optional<OpenClusterOptions> discovery(Settings settings) {
+  private static Optional<DiscoveryOptions> discovery(Settings settings) {
     int innerPort = settings.get(DaemonSpec.INNER_ADDRESS).getPort();
     return settings
         .find(DaemonSpec.SEEDS)
         .map(
             seeds ->
-                new OpenClusterOptions(
+                new DiscoveryOptions(
                     seeds.stream()
                         .map(seed -> new InetSocketAddress(seed.getAddress(), innerPort))
                         .toList(),
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/NoManagementBeans.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/DisabledMbeanServerBuilder.java
@@ -12,7 +12,7 @@
  * fails. Initializing the beans of the runtime took half of the time to open the HTTP ports, while
  * the first callers wait. Metrics are served at the metrics address instead.
  */
-public final class NoManagementBeans extends MBeanServerBuilder {
+public final class DisabledMbeanServerBuilder extends MBeanServerBuilder {
   private static final String BUILDER_PROPERTY = "javax.management.builder.initial";
 
   /** Common prefix of the system properties that enable remote management. */
@@ -25,7 +25,7 @@
             .anyMatch(
                 name -> name.startsWith(REMOTE_PROPERTY_PREFIX) || name.equals(BUILDER_PROPERTY));
     if (!requested) {
-      System.setProperty(BUILDER_PROPERTY, NoManagementBeans.class.getName());
+      System.setProperty(BUILDER_PROPERTY, DisabledMbeanServerBuilder.class.getName());
     }
   }
 
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/OpenClusterOptions.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/DiscoveryOptions.java
@@ -10,7 +10,7 @@
  * @param mayFound whether the control hosts among the seeds may form a new cluster
  * @param toleratedLosses number of control hosts that may fail at the same time
  */
-record OpenClusterOptions(List<InetSocketAddress> seeds, boolean mayFound, int toleratedLosses) {
+record DiscoveryOptions(List<InetSocketAddress> seeds, boolean mayFound, int toleratedLosses) {
 
   /**
    * Returns the number of voting control hosts: the smallest number of which a majority remains
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/HostContext.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/HostContext.java
@@ -117,7 +117,7 @@
     statementLinks = register(new PeerLinks(loops, longTimeoutProtocol));
     controlHosts =
         new ControlHosts(
-            initialControlHosts(), settings.discovery().map(OpenClusterOptions::voters).orElse(0));
+            initialControlHosts(), settings.discovery().map(DiscoveryOptions::voters).orElse(0));
     control = new ControlClient(links, controlHosts::addresses, controlWorkers);
     self =
         new HostState(
@@ -133,7 +133,7 @@
   }
 
   private List<InetSocketAddress> initialControlHosts() {
-    return settings.discovery().map(OpenClusterOptions::seeds).orElse(settings.controlHosts());
+    return settings.discovery().map(DiscoveryOptions::seeds).orElse(settings.controlHosts());
   }
 
   /** Registers a component; components are closed in reverse order of registration. */
--- a/alderyard-daemon/src/main/java/org/alderyard/daemon/SessionStack.java
+++ b/alderyard-daemon/src/main/java/org/alderyard/daemon/SessionStack.java
@@ -206,10 +206,10 @@
     try {
       awaitUnused(startNanos, ACCEPT_SHARE);
       sessions.drain();
-      closeIdleUntil(startNanos, TRANSACTION_SHARE);
-      callerPort.get().abortTransactions();
+      closeIdleSessionsUntil(startNanos, TRANSACTION_SHARE);
+      callerPort.get().rollBackTransactions();
       sessions.rollBackHeldTransactions();
-      closeIdleUntil(startNanos, DRAIN_SHARE);
+      closeIdleSessionsUntil(startNanos, DRAIN_SHARE);
     } catch (InterruptedException interruption) {
       Thread.currentThread().interrupt();
     }
@@ -226,9 +226,9 @@
     }
   }
 
-  private void closeIdleUntil(long startNanos, double share) throws InterruptedException {
+  private void closeIdleSessionsUntil(long startNanos, double share) throws InterruptedException {
     while (!elapsed(startNanos, share) && hasSessionsOrTransactions()) {
-      callerPort.get().closeIdle();
+      callerPort.get().closeIdleSessions();
       TimeUnit.MILLISECONDS.sleep(POLL_MILLIS);
     }
   }
--- a/alderyard-daemon/src/test/java/org/alderyard/daemon/ReturnOfAllHostsTest.java
+++ b/alderyard-daemon/src/test/java/org/alderyard/daemon/SimultaneousReconnectTest.java
@@ -26,7 +26,7 @@
  * <p>The model has eleven hosts with a mean demand of 0.4 connections and a peak of two. It uses
  * the real grant ledger and connection targets; the server is only a counter.
  */
-class ReturnOfAllHostsTest {
+class SimultaneousReconnectTest {
   private static final int MAX_CONNECTIONS = 25;
   private static final int HOSTS = 11;
   private static final double MEAN_DEMAND = 0.4;
--- a/alderyard-daemon/src/test/java/org/alderyard/daemon/WriteHistoryTest.java
+++ b/alderyard-daemon/src/test/java/org/alderyard/daemon/WriteHistoryTest.java
@@ -117,7 +117,7 @@
 
   private void assertGuaranteesHold(TestCluster cluster) throws Exception {
     assertThat(HistoryChecker.check(List.copyOf(history), finalLists(cluster))).isEmpty();
-    assertThat(history.stream().filter(Operation::acknowledgedAppend).count())
+    assertThat(history.stream().filter(Operation::isAcknowledgedAppend).count())
         .isAtLeast(SESSIONS * STEPS / 4);
   }
 
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/CallerSession.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/CallerSession.java
@@ -144,7 +144,7 @@
   }
 
   private static CompletableFuture<SessionReply> succeed(TransactionState state) {
-    return CompletableFuture.completedFuture(SessionReply.done(state));
+    return CompletableFuture.completedFuture(SessionReply.success(state));
   }
 
   private CompletableFuture<SessionReply> refuse(
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/PinnedStatement.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/PinnedStatement.java
@@ -109,9 +109,9 @@
     if (reply.succeeded()) {
       if (task.endsTransaction()) {
         handleCommit(reply, sentNanos);
-        return CompletableFuture.completedFuture(reply.inState(TransactionState.NONE));
+        return CompletableFuture.completedFuture(reply.withState(TransactionState.NONE));
       }
-      return CompletableFuture.completedFuture(reply.inState(TransactionState.OPEN));
+      return CompletableFuture.completedFuture(reply.withState(TransactionState.OPEN));
     }
     boolean stillOpen = reply.state() == TransactionState.OPEN;
     if (reply.refusedWith(RefusalCode.BUSY) && stillOpen && retries < MAX_BUSY_RETRIES) {
@@ -133,7 +133,7 @@
         reply.refusal().orElseThrow().code());
     owner.rollBack();
     return CompletableFuture.completedFuture(
-        reply.inState(task.endsTransaction() ? TransactionState.NONE : TransactionState.FAILED));
+        reply.withState(task.endsTransaction() ? TransactionState.NONE : TransactionState.FAILED));
   }
 
   private void handleCommit(SessionReply reply, long sentNanos) {
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/PooledSession.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/PooledSession.java
@@ -66,21 +66,21 @@
     List<SessionRequest> requests = new ArrayList<>();
     boolean hasForeignValues = !sessionValues.keySet().containsAll(values.keySet());
     if (mayReset && (hasForeignValues || prepared.size() >= MAX_PREPARED)) {
-      requests.add(SessionRequest.own(new Reset()));
+      requests.add(SessionRequest.internal(new Reset()));
       values.clear();
       prepared.clear();
     }
     sessionValues.forEach(
         (name, value) -> {
           if (!value.equals(values.put(name, value))) {
-            requests.add(SessionRequest.own(new SetValue(name, value)));
+            requests.add(SessionRequest.internal(new SetValue(name, value)));
           }
         });
     statement.ifPresent(
         shape -> {
           String name = serverName(shape);
           if (prepared.add(name)) {
-            requests.add(SessionRequest.own(new Prepare(name, shape.kind(), shape.shape())));
+            requests.add(SessionRequest.internal(new Prepare(name, shape.kind(), shape.shape())));
           }
         });
     return requests;
@@ -97,7 +97,7 @@
 
   /** Sends a statement that the proxy itself issues. */
   CompletableFuture<SessionReply> runInternal(SessionStatement statement, Duration timeout) {
-    return run(List.of(SessionRequest.own(statement)), timeout)
+    return run(List.of(SessionRequest.internal(statement)), timeout)
         .thenApply(replies -> replies.get(0));
   }
 
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/SampleRefresher.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/SampleRefresher.java
@@ -144,7 +144,7 @@
       Runnable tryNext) {
     long sentNanos = context.clock().nowNanos();
     session
-        .run(List.of(SessionRequest.own(new Begin(false))), TIMEOUT)
+        .run(List.of(SessionRequest.internal(new Begin(false))), TIMEOUT)
         .whenComplete(
             (replies, failure) -> {
               if (failure != null) {
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/StatementAttempt.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/callersession/StatementAttempt.java
@@ -108,7 +108,7 @@
         .begin()
         .ifPresent(
             readOnly -> {
-              SessionRequest begin = SessionRequest.own(new Begin(readOnly));
+              SessionRequest begin = SessionRequest.internal(new Begin(readOnly));
               setup.add(
                   requirement.floor().map(floor -> begin.after(floor.position())).orElse(begin));
             });
@@ -313,12 +313,12 @@
     releaseConnection(session, reply);
     if (refusedBeforeRun(reply) && !(task.endsTransaction() && code == RefusalCode.NOT_PRIMARY)) {
       retryElsewhere();
-    } else if (mayRetryFailure && run.storeFailure(reply.inState(TransactionState.NONE))) {
+    } else if (mayRetryFailure && run.storeFailure(reply.withState(TransactionState.NONE))) {
       retryElsewhere();
     } else {
       endAttempt();
       logFailed(code, now);
-      run.complete(reply.inState(stateAfterRefusal()), Optional.empty());
+      run.complete(reply.withState(stateAfterRefusal()), Optional.empty());
     }
   }
 
@@ -382,12 +382,12 @@
     endAttempt();
     if (requirement.keepOpen() && !task.endsTransaction()) {
       PinnedConnection pinned = new PinnedConnection(context, server, session);
-      if (!run.complete(reply.inState(TransactionState.OPEN), Optional.of(pinned))) {
+      if (!run.complete(reply.withState(TransactionState.OPEN), Optional.of(pinned))) {
         context.rollBackAndRelease(server, session);
       }
       return;
     }
-    run.complete(reply.inState(TransactionState.NONE), Optional.empty());
+    run.complete(reply.withState(TransactionState.NONE), Optional.empty());
     if (requirement.begin().isPresent() && reply.state() != TransactionState.NONE) {
       context.rollBackAndRelease(server, session);
     } else {
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadAnswer.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadAnswer.java
@@ -2,7 +2,7 @@
 
 import java.util.Objects;
 import java.util.OptionalLong;
-import org.alderyard.backend.BackendAnswer;
+import org.alderyard.backend.BackendResponse;
 import org.alderyard.common.view.ServerState;
 
 /**
@@ -14,7 +14,7 @@
  * @param ageMillis an upper bound for the age of the data; empty for the primary or if unknown
  */
 public record ReadAnswer(
-    BackendAnswer answer, ServerState server, boolean replica, OptionalLong ageMillis) {
+    BackendResponse answer, ServerState server, boolean replica, OptionalLong ageMillis) {
 
   /** Rejects null components. */
   public ReadAnswer {
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadPath.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ReadPath.java
@@ -7,7 +7,7 @@
 import java.util.OptionalLong;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
-import org.alderyard.backend.BackendAnswer;
+import org.alderyard.backend.BackendResponse;
 import org.alderyard.backend.BackendStatement;
 import org.alderyard.common.concurrent.Futures;
 import org.alderyard.common.error.AlderyardException;
@@ -165,11 +165,11 @@
     runner
         .run(read.group, server, read.flow, read.statement, read.deadlineNanos)
         .whenComplete(
-            (answer, failure) -> {
+            (response, failure) -> {
               try {
                 CompletableFuture<ReadAnswer> next =
                     failure == null
-                        ? check(read, server, replica, answer)
+                        ? check(read, server, replica, response)
                         : retryOrFail(read, server, failure);
                 next.whenComplete(
                     (checkedAnswer, laterFailure) -> {
@@ -187,14 +187,14 @@
   }
 
   private CompletableFuture<ReadAnswer> check(
-      ReadState read, ServerState server, boolean replica, BackendAnswer answer) {
+      ReadState read, ServerState server, boolean replica, BackendResponse response) {
     GroupFreshness groupFreshness = freshness.group(read.group.id());
-    groupFreshness.recordAnswer(server.id(), server.incarnation(), answer.position());
+    groupFreshness.recordAnswer(server.id(), server.incarnation(), response.position());
     OptionalLong age =
-        replica ? ageMillis(groupFreshness, answer.position()) : OptionalLong.empty();
-    if (satisfiesDemand(read, replica, answer.position(), age)) {
+        replica ? ageMillis(groupFreshness, response.position()) : OptionalLong.empty();
+    if (satisfiesDemand(read, replica, response.position(), age)) {
       age.ifPresent(metrics::recordAge);
-      return CompletableFuture.completedFuture(new ReadAnswer(answer, server, replica, age));
+      return CompletableFuture.completedFuture(new ReadAnswer(response, server, replica, age));
     }
     metrics.recordStaleAnswer();
     if (replica && read.attempts < MAX_ATTEMPTS) {
@@ -205,7 +205,7 @@
         "server "
             + server.id()
             + " returned position "
-            + answer.position()
+            + response.position()
             + ", which is older than the session's position "
             + read.demand.requirement().position(),
         STALE_ANSWER_RETRY_MILLIS);
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ServerRunner.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/read/ServerRunner.java
@@ -3,8 +3,8 @@
 import java.time.Duration;
 import java.util.Objects;
 import java.util.concurrent.CompletableFuture;
-import org.alderyard.backend.BackendAnswer;
 import org.alderyard.backend.BackendException;
+import org.alderyard.backend.BackendResponse;
 import org.alderyard.backend.BackendStatement;
 import org.alderyard.backend.ServerConnection;
 import org.alderyard.backend.StatementKind;
@@ -53,7 +53,7 @@
    * @return a future of the answer; it fails with outcome {@code NOT_RUN} if the limiter of the
    *     server rejects the statement
    */
-  public CompletableFuture<BackendAnswer> run(
+  public CompletableFuture<BackendResponse> run(
       GroupState group,
       ServerState server,
       Flow flow,
@@ -73,13 +73,13 @@
         .thenCompose(permit -> send(server, statement, deadlineNanos, permit));
   }
 
-  private CompletableFuture<BackendAnswer> send(
+  private CompletableFuture<BackendResponse> send(
       ServerState server,
       BackendStatement statement,
       long deadlineNanos,
       ServerLimiters.Permit permit) {
     long startedNanos = clock.nowNanos();
-    CompletableFuture<BackendAnswer> result;
+    CompletableFuture<BackendResponse> result;
     try {
       Duration connectTimeout = Duration.ofNanos(Math.max(1, deadlineNanos - startedNanos));
       result =
@@ -95,7 +95,7 @@
             recordResult(server, permit, clock.nowNanos() - startedNanos, failure));
   }
 
-  private CompletableFuture<BackendAnswer> runOnConnection(
+  private CompletableFuture<BackendResponse> runOnConnection(
       ServerState server,
       ServerConnection connection,
       BackendStatement statement,
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/transaction/TransactionService.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/transaction/TransactionService.java
@@ -4,8 +4,8 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.random.RandomGenerator;
-import org.alderyard.backend.BackendAnswer;
 import org.alderyard.backend.BackendException;
+import org.alderyard.backend.BackendResponse;
 import org.alderyard.backend.BackendStatement;
 import org.alderyard.backend.ServerConnection;
 import org.alderyard.common.concurrent.Futures;
@@ -130,7 +130,7 @@
   }
 
   /** Runs a statement inside a transaction. */
-  public CompletableFuture<BackendAnswer> run(
+  public CompletableFuture<BackendResponse> run(
       TransactionId id, CallerId caller, BackendStatement statement, Duration timeout) {
     OpenTransaction transaction = requireOpen(id, caller);
     transaction.beginRequest();
@@ -187,7 +187,7 @@
         .whenComplete(
             (answer, failure) ->
                 pools.release(transaction.target().primary(), transaction.connection()))
-        .thenCompose(answer -> acknowledgeCommit(id, transaction, answer, timeout))
+        .thenCompose(response -> acknowledgeCommit(id, transaction, response, timeout))
         .whenComplete(
             (answer, failure) -> {
               if (failure != null) {
@@ -198,9 +198,10 @@
   }
 
   private CompletableFuture<WriteAnswer> acknowledgeCommit(
-      TransactionId id, OpenTransaction transaction, BackendAnswer answer, Duration timeout) {
+      TransactionId id, OpenTransaction transaction, BackendResponse response, Duration timeout) {
     return writes
-        .acknowledge(transaction.pool(), transaction.group(), transaction.target(), answer, timeout)
+        .acknowledge(
+            transaction.pool(), transaction.group(), transaction.target(), response, timeout)
         .thenApply(
             writeAnswer -> {
               table.recordEnd(
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/write/Acknowledgement.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/write/Acknowledgement.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 import java.util.concurrent.CompletableFuture;
-import org.alderyard.backend.BackendAnswer;
+import org.alderyard.backend.BackendResponse;
 import org.alderyard.common.error.AlderyardException;
 import org.alderyard.common.error.ErrorCode;
 import org.alderyard.common.error.Outcome;
@@ -20,17 +20,17 @@
       PoolState pool,
       GroupId group,
       WriteTarget target,
-      BackendAnswer answer,
+      BackendResponse response,
       Duration timeout) {
     WriteAnswer writeAnswer =
-        new WriteAnswer(answer.result(), target.primary().id(), answer.position());
+        new WriteAnswer(response.result(), target.primary().id(), response.position());
     if (pool.writeAcknowledgement() == WriteAcknowledgement.PRIMARY_ONLY) {
       requireCurrentTerm(context, group, target);
       return CompletableFuture.completedFuture(writeAnswer);
     }
     return context
         .acknowledger()
-        .await(group, target.term(), answer.position().index(), timeout)
+        .await(group, target.term(), response.position().index(), timeout)
         .thenApply(ignored -> writeAnswer);
   }
 
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/write/MajorityAcknowledger.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/write/MajorityAcknowledger.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.LongAdder;
-import org.alderyard.backend.Progress;
+import org.alderyard.backend.LogProgress;
 import org.alderyard.backend.ServerAdmin;
 import org.alderyard.backend.ServerReport;
 import org.alderyard.common.concurrent.WorkerPool;
@@ -144,7 +144,10 @@
     pollCount.increment();
     admin
         .awaitPosition(
-            replica.address(), new Position(key.term, next.getAsLong()), Progress.HELD, POLL_WAIT)
+            replica.address(),
+            new Position(key.term, next.getAsLong()),
+            LogProgress.HELD,
+            POLL_WAIT)
         .whenComplete((report, failure) -> handlePollResult(key, progress, poll, report));
   }
 
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/write/WritePath.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/write/WritePath.java
@@ -7,7 +7,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.BooleanSupplier;
 import java.util.function.Predicate;
-import org.alderyard.backend.BackendAnswer;
+import org.alderyard.backend.BackendResponse;
 import org.alderyard.backend.ServerAdmin;
 import org.alderyard.common.concurrent.WorkerPool;
 import org.alderyard.common.error.AlderyardException;
@@ -95,8 +95,12 @@
    * {@code OUTCOME_UNKNOWN}.
    */
   public CompletableFuture<WriteAnswer> acknowledge(
-      PoolState pool, GroupId group, WriteTarget target, BackendAnswer answer, Duration timeout) {
-    return Acknowledgement.of(context, pool, group, target, answer, timeout);
+      PoolState pool,
+      GroupId group,
+      WriteTarget target,
+      BackendResponse response,
+      Duration timeout) {
+    return Acknowledgement.of(context, pool, group, target, response, timeout);
   }
 
   /** Returns the number of acknowledgement polls sent to replicas. */
--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/write/WriteRun.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/write/WriteRun.java
@@ -2,8 +2,8 @@
 
 import java.time.Duration;
 import java.util.concurrent.CompletableFuture;
-import org.alderyard.backend.BackendAnswer;
 import org.alderyard.backend.BackendException;
+import org.alderyard.backend.BackendResponse;
 import org.alderyard.backend.BackendStatement;
 import org.alderyard.backend.ServerConnection;
 import org.alderyard.backend.StatementKind;
@@ -86,13 +86,13 @@
         .acquire(request, target.primary(), deadlineNanos())
         .thenCompose(permit -> runWithPermit(permit, target, attempt))
         .thenCompose(
-            answer ->
+            response ->
                 Acknowledgement.of(
                     context,
                     request.pool(),
                     request.group(),
                     target,
-                    answer,
+                    response,
                     deadline.remaining(context.clock())))
         .whenComplete(
             (answer, failure) -> {
@@ -108,9 +108,9 @@
     return context.clock().nowNanos() + deadline.remaining(context.clock()).toNanos();
   }
 
-  private CompletableFuture<BackendAnswer> runWithPermit(
+  private CompletableFuture<BackendResponse> runWithPermit(
       WriteAdmission.Permit permit, WriteTarget target, InFlightWrites.Attempt attempt) {
-    CompletableFuture<BackendAnswer> run;
+    CompletableFuture<BackendResponse> run;
     try {
       run =
           context
@@ -137,7 +137,7 @@
     }
   }
 
-  private CompletableFuture<BackendAnswer> runOnConnection(
+  private CompletableFuture<BackendResponse> runOnConnection(
       ServerConnection connection, WriteTarget target, InFlightWrites.Attempt attempt) {
     Duration timeLeft = deadline.remaining(context.clock());
     if (timeLeft.isZero() || !attempt.tryMarkSent(connection)) {
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/CallerSessionTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/CallerSessionTest.java
@@ -8,7 +8,7 @@
 import org.alderyard.backend.session.RefusalCode;
 import org.alderyard.backend.session.SessionReply;
 import org.alderyard.backend.session.TransactionState;
-import org.alderyard.testkit.session.ModelServer.Ran;
+import org.alderyard.testkit.session.ModelServer.RanStatement;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
@@ -20,7 +20,7 @@
     fixture.close();
   }
 
-  private List<Ran> statementsRun(String server) {
+  private List<RanStatement> statementsRun(String server) {
     return fixture.group.server(server).ran();
   }
 
@@ -41,7 +41,8 @@
       assertThat(second.execute("p", "a").succeeded()).isTrue();
     }
 
-    List<Map<String, String>> values = statementsRun("s1").stream().map(Ran::values).toList();
+    List<Map<String, String>> values =
+        statementsRun("s1").stream().map(RanStatement::values).toList();
     assertThat(values)
         .containsExactly(
             Map.of("lang", "fr"),
@@ -51,7 +52,8 @@
             Map.of("lang", "fr"),
             Map.of("lang", "br"))
         .inOrder();
-    assertThat(statementsRun("s1").stream().map(Ran::statement).distinct().count()).isEqualTo(2);
+    assertThat(statementsRun("s1").stream().map(RanStatement::statement).distinct().count())
+        .isEqualTo(2);
   }
 
   @Test
@@ -81,7 +83,7 @@
     first.write("kit", "2");
     assertThat(first.commit().succeeded()).isTrue();
 
-    List<Ran> ran = statementsRun("s1");
+    List<RanStatement> ran = statementsRun("s1");
     assertThat(ran.get(0).connection()).isEqualTo(ran.get(2).connection());
     assertThat(ran.get(1).connection()).isNotEqualTo(ran.get(0).connection());
     assertThat(fixture.caller(SessionFixture.NEWEST).read("kit").rows()).containsExactly("2");
@@ -102,7 +104,7 @@
   void writeWithLostReplyIsInDoubtAndIsNotResent() {
     // The server runs a write and the reply is lost. Reporting the write as not run, or sending it
     // again, would let it run twice.
-    fixture.group.server("s1").loseAnswers(1);
+    fixture.group.server("s1").loseResponses(1);
 
     SessionReply reply = fixture.caller(SessionFixture.NEWEST).write("parcel", "closed");
 
@@ -115,7 +117,7 @@
     SessionFixture.Caller caller = fixture.caller(SessionFixture.NEWEST);
     caller.begin();
     caller.write("parcel", "closed");
-    fixture.group.server("s1").loseAnswers(1);
+    fixture.group.server("s1").loseResponses(1);
 
     SessionReply reply = caller.commit();
 
@@ -130,7 +132,7 @@
     SessionFixture.Caller caller = fixture.caller(SessionFixture.NEWEST);
     caller.begin();
     caller.write("kit", "1");
-    fixture.group.server("s1").unreachable(true);
+    fixture.group.server("s1").setUnreachable(true);
 
     SessionReply reply = caller.write("kit", "2");
     assertThat(reply.refusedWith(RefusalCode.ABORTED)).isTrue();
@@ -138,7 +140,7 @@
     assertThat(caller.read("kit").refusedWith(RefusalCode.MALFORMED)).isTrue();
     assertThat(caller.commit().refusedWith(RefusalCode.ABORTED)).isTrue();
 
-    fixture.group.server("s1").unreachable(false);
+    fixture.group.server("s1").setUnreachable(false);
     assertThat(caller.read("kit").rows()).containsExactly("");
   }
 
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/HolderForwarderTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/HolderForwarderTest.java
@@ -90,7 +90,7 @@
     assertThat(caller.commit().succeeded()).isTrue();
     Set<Integer> connections =
         fleet.group.server("s1").ran().stream()
-            .map(ModelServer.Ran::connection)
+            .map(ModelServer.RanStatement::connection)
             .collect(Collectors.toSet());
     assertThat(connections).hasSize(1);
     assertThat(heldTransactionCount()).isEqualTo(0);
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/ReadFreshnessTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/ReadFreshnessTest.java
@@ -67,7 +67,7 @@
     caller.write("room", "kept");
     fixture.group.replicate();
     caller.write("room", "lost");
-    fixture.group.server("s1").unreachable(true);
+    fixture.group.server("s1").setUnreachable(true);
     fixture.group.promote("s2");
     fixture.publish("s2", fixture.group.states());
     fixture.caller(SessionFixture.NEWEST).write("other", "x");
@@ -79,7 +79,7 @@
   void readWithoutProvableStalenessIsRefusedAsNotRun() {
     // The primary is unreachable and there is no sample, so no replica can prove that it is recent
     // enough.
-    fixture.group.server("s1").unreachable(true);
+    fixture.group.server("s1").setUnreachable(true);
 
     assertThat(
             fixture
@@ -99,7 +99,7 @@
     fixture.caller(SessionFixture.NEWEST).write("room", "1");
     fixture.group.replicate();
     SessionFixture restarted = new SessionFixture("z1", fixture.group);
-    primary.hold();
+    primary.holdResponses();
     List<CompletableFuture<SessionReply>> replies = new ArrayList<>();
     for (int caller = 0; caller < 20; caller++) {
       replies.add(
@@ -108,7 +108,7 @@
               .session
               .handle("r" + caller, new SessionStatement.Read("room")));
     }
-    primary.letGo();
+    primary.releaseResponses();
     replies.forEach(reply -> assertThat(reply.join().rows()).containsExactly("1"));
 
     // The write from before the restart, and no read.
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/SessionAdmissionAfterStartTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/SessionAdmissionAfterStartTest.java
@@ -55,13 +55,13 @@
     // to it.
     try (SessionFixture host = new SessionFixture("z0", group())) {
       assertThat(host.service.ready()).isTrue();
-      host.group.server("s1").unreachable(true);
+      host.group.server("s1").setUnreachable(true);
       host.caller(SessionFixture.NEWEST).write("kit", "one");
       host.advance(1_000);
       assertThat(host.service.ready()).isTrue();
       host.viewConfirmed = false;
       assertThat(host.service.ready()).isFalse();
-      host.group.server("s1").unreachable(false);
+      host.group.server("s1").setUnreachable(false);
       host.advance(5_000);
       host.caller(SessionFixture.NEWEST).write("kit", "one");
       assertThat(host.service.ready()).isTrue();
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/SharedRefusalsTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/SharedRefusalsTest.java
@@ -30,7 +30,7 @@
     // A primary is unreachable for longer than statements wait. Each statement asked both replicas
     // in each of its search rounds, although the first reply had already shown that neither is the
     // primary.
-    fixture.group.server("s1").unreachable(true);
+    fixture.group.server("s1").setUnreachable(true);
 
     List<SessionReply> replies = runAll(SessionFixture.NEWEST, new Read("a"));
 
@@ -44,7 +44,7 @@
     // Replicas lag and the primary has no free slot. All reads repeatedly asked the replicas for a
     // position that the replicas had just reported as missing.
     fixture.caller(SessionFixture.NEWEST).write("a", "1");
-    fixture.group.server("s1").busy(Integer.MAX_VALUE);
+    fixture.group.server("s1").refuseBusy(Integer.MAX_VALUE);
 
     runAll(SessionFixture.BOUNDED, new Read("a"));
 
@@ -54,7 +54,7 @@
   @Test
   void readsRunOnceReplicaHoldsTheMissingPosition() throws Exception {
     fixture.caller(SessionFixture.NEWEST).write("a", "1");
-    fixture.group.server("s1").busy(Integer.MAX_VALUE);
+    fixture.group.server("s1").refuseBusy(Integer.MAX_VALUE);
     List<CompletableFuture<SessionReply>> replies = startAll(SessionFixture.BOUNDED, new Read("a"));
     TimeUnit.MILLISECONDS.sleep(100);
     fixture.group.replicate();
@@ -68,7 +68,7 @@
   void primaryWithoutFreeSlotIsRetriedByOneStatementAtTime() {
     // A primary with few slots serves many hosts. Each statement of each host retried after its own
     // backoff, and the primary spent most of its time on refusals.
-    fixture.group.server("s1").busy(Integer.MAX_VALUE);
+    fixture.group.server("s1").refuseBusy(Integer.MAX_VALUE);
 
     List<SessionReply> replies = runAll(SessionFixture.NEWEST, new Write("a", "1"));
 
@@ -79,11 +79,11 @@
 
   @Test
   void queuedWritesRunOncePrimaryHasFreeSlot() throws Exception {
-    fixture.group.server("s1").busy(Integer.MAX_VALUE);
+    fixture.group.server("s1").refuseBusy(Integer.MAX_VALUE);
     List<CompletableFuture<SessionReply>> replies =
         startAll(SessionFixture.NEWEST, new Write("a", "1"));
     TimeUnit.MILLISECONDS.sleep(100);
-    fixture.group.server("s1").busy(0);
+    fixture.group.server("s1").refuseBusy(0);
 
     for (CompletableFuture<SessionReply> reply : replies) {
       assertThat(reply.get(5, TimeUnit.SECONDS).succeeded()).isTrue();
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/StatementRunTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/callersession/StatementRunTest.java
@@ -23,7 +23,7 @@
 
   @Test
   void busyPrimaryIsRetriedUntilItHasFreeSlot() {
-    fixture.group.server("s1").busy(2);
+    fixture.group.server("s1").refuseBusy(2);
 
     assertThat(fixture.caller(SessionFixture.NEWEST).write("a", "1").succeeded()).isTrue();
     assertThat(fixture.group.server("s1").ran()).hasSize(1);
@@ -31,7 +31,7 @@
 
   @Test
   void writeIsRefusedAsNotRunWhenPrimaryStaysBusy() {
-    fixture.group.server("s1").busy(10_000);
+    fixture.group.server("s1").refuseBusy(10_000);
 
     SessionReply reply = fixture.caller(SessionFixture.NEWEST).write("a", "1");
 
@@ -44,7 +44,7 @@
     fixture.caller(SessionFixture.NEWEST).write("room", "old");
     fixture.group.replicate();
     fixture.advance(SessionFixture.STALENESS_MILLIS / 2);
-    fixture.group.server("s2").loseAnswers(1);
+    fixture.group.server("s2").loseResponses(1);
 
     assertThat(fixture.caller(SessionFixture.BOUNDED).read("room").rows()).containsExactly("old");
   }
@@ -69,7 +69,7 @@
     fixture.group.replicate();
     fixture.advance(SessionFixture.STALENESS_MILLIS / 2);
     fixture.caller(SessionFixture.BOUNDED).read("room");
-    fixture.group.server("s2").silent(true);
+    fixture.group.server("s2").setUnresponsive(true);
 
     assertThat(fixture.caller(SessionFixture.BOUNDED).read("room").rows()).containsExactly("old");
   }
@@ -90,7 +90,7 @@
     // Responses are occasionally lost with their connections. If each loss caused a backoff, writes
     // would pause although the primary is available.
     SessionFixture.Caller caller = fixture.caller(SessionFixture.NEWEST);
-    fixture.group.server("s1").loseAnswers(1);
+    fixture.group.server("s1").loseResponses(1);
     assertThat(caller.write("a", "1").refusedWith(RefusalCode.IN_DOUBT)).isTrue();
 
     long nowNanos = System.nanoTime();
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/monitor/GroupMonitorTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/monitor/GroupMonitorTest.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
-import org.alderyard.backend.Progress;
+import org.alderyard.backend.LogProgress;
 import org.alderyard.backend.ServerAdmin;
 import org.alderyard.backend.ServerReport;
 import org.alderyard.backend.ServerRole;
@@ -121,7 +121,7 @@
 
     @Override
     public CompletableFuture<ServerReport> awaitPosition(
-        InetSocketAddress server, Position position, Progress progress, Duration wait) {
+        InetSocketAddress server, Position position, LogProgress progress, Duration wait) {
       throw new AssertionError("the monitor only asks for states");
     }
 
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/pool/ServerPoolsTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/pool/ServerPoolsTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.LongRange;
-import org.alderyard.backend.BackendAnswer;
+import org.alderyard.backend.BackendResponse;
 import org.alderyard.backend.BackendStatement;
 import org.alderyard.backend.ServerConnection;
 import org.alderyard.common.concurrent.Futures;
@@ -207,7 +207,7 @@
     boolean open = true;
 
     @Override
-    public CompletableFuture<BackendAnswer> run(BackendStatement statement, Duration timeout) {
+    public CompletableFuture<BackendResponse> run(BackendStatement statement, Duration timeout) {
       return new CompletableFuture<>();
     }
 
@@ -217,7 +217,7 @@
     }
 
     @Override
-    public CompletableFuture<BackendAnswer> commit(Duration timeout) {
+    public CompletableFuture<BackendResponse> commit(Duration timeout) {
       return new CompletableFuture<>();
     }
 
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/transaction/TransactionServiceTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/transaction/TransactionServiceTest.java
@@ -9,7 +9,7 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
-import org.alderyard.backend.BackendAnswer;
+import org.alderyard.backend.BackendResponse;
 import org.alderyard.backend.BackendStatement;
 import org.alderyard.backend.StatementKind;
 import org.alderyard.common.concurrent.Futures;
@@ -141,7 +141,7 @@
   /** Guards against two concurrent requests of a transaction on one connection. */
   @Test
   void concurrentRequestIsRejected() {
-    servers.thenRun(statement -> new CompletableFuture<BackendAnswer>());
+    servers.thenRun(statement -> new CompletableFuture<BackendResponse>());
     final TransactionId id = begin();
     transactions.run(id, CALLER, statement(), TIMEOUT);
 
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/write/FakeReplicas.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/write/FakeReplicas.java
@@ -5,7 +5,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
-import org.alderyard.backend.Progress;
+import org.alderyard.backend.LogProgress;
 import org.alderyard.backend.ServerAdmin;
 import org.alderyard.backend.ServerReport;
 import org.alderyard.common.id.Position;
@@ -40,7 +40,7 @@
 
   @Override
   public synchronized CompletableFuture<ServerReport> awaitPosition(
-      InetSocketAddress server, Position position, Progress progress, Duration wait) {
+      InetSocketAddress server, Position position, LogProgress progress, Duration wait) {
     ServerId id = TestGroup.serverAt(server);
     pollCounts.merge(id, 1, Integer::sum);
     requestedPositions.put(id, position);
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/write/FakeServers.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/write/FakeServers.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Function;
-import org.alderyard.backend.BackendAnswer;
+import org.alderyard.backend.BackendResponse;
 import org.alderyard.backend.BackendStatement;
 import org.alderyard.backend.ServerConnection;
 import org.alderyard.backend.ServerConnector;
@@ -27,7 +27,7 @@
   /** The number of open connections. */
   public int openConnections;
 
-  private final Deque<Function<BackendStatement, CompletableFuture<BackendAnswer>>> steps =
+  private final Deque<Function<BackendStatement, CompletableFuture<BackendResponse>>> steps =
       new ArrayDeque<>();
 
   /** Answers the next statement with a position. */
@@ -35,7 +35,7 @@
     steps.add(
         statement ->
             CompletableFuture.completedFuture(
-                new BackendAnswer(
+                new BackendResponse(
                     JsonNodeFactory.instance.numberNode(index), new Position(term, index))));
     return this;
   }
@@ -47,7 +47,7 @@
   }
 
   /** Runs a step for the next statement. */
-  public FakeServers thenRun(Function<BackendStatement, CompletableFuture<BackendAnswer>> step) {
+  public FakeServers thenRun(Function<BackendStatement, CompletableFuture<BackendResponse>> step) {
     steps.add(step);
     return this;
   }
@@ -67,7 +67,7 @@
     }
 
     @Override
-    public CompletableFuture<BackendAnswer> run(BackendStatement statement, Duration timeout) {
+    public CompletableFuture<BackendResponse> run(BackendStatement statement, Duration timeout) {
       sent.add(new Sent(server, statement));
       return steps.remove().apply(statement);
     }
@@ -78,7 +78,7 @@
     }
 
     @Override
-    public CompletableFuture<BackendAnswer> commit(Duration timeout) {
+    public CompletableFuture<BackendResponse> commit(Duration timeout) {
       return steps.remove().apply(null);
     }
 
--- a/alderyard-proxy/src/test/java/org/alderyard/proxy/write/WritePathTest.java
+++ b/alderyard-proxy/src/test/java/org/alderyard/proxy/write/WritePathTest.java
@@ -12,9 +12,9 @@
 import java.util.OptionalLong;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
-import org.alderyard.backend.BackendAnswer;
 import org.alderyard.backend.BackendException;
 import org.alderyard.backend.BackendException.Refusal;
+import org.alderyard.backend.BackendResponse;
 import org.alderyard.backend.LedgerKey;
 import org.alderyard.common.concurrent.Futures;
 import org.alderyard.common.concurrent.WorkerPool;
@@ -100,8 +100,8 @@
    */
   @Test
   void writeOnSuspendedPrimaryFailsWhenPrimaryIsReplaced() {
-    CompletableFuture<BackendAnswer> lateAnswer = new CompletableFuture<>();
-    servers.thenRun(statement -> lateAnswer);
+    CompletableFuture<BackendResponse> lateResponse = new CompletableFuture<>();
+    servers.thenRun(statement -> lateResponse);
     group.publish(1, Optional.of(A));
     CompletableFuture<WriteAnswer> write = writes.run(order(TIMEOUT));
     assertThat(write.isDone()).isFalse();
@@ -111,7 +111,8 @@
     AlderyardException failure = failureOf(write);
     assertThat(failure.code()).isEqualTo(ErrorCode.PRIMARY_REPLACED);
     assertThat(failure.outcome()).isEqualTo(Outcome.OUTCOME_UNKNOWN);
-    lateAnswer.complete(new BackendAnswer(JsonNodeFactory.instance.nullNode(), new Position(1, 1)));
+    lateResponse.complete(
+        new BackendResponse(JsonNodeFactory.instance.nullNode(), new Position(1, 1)));
     assertThat(failureOf(write)).isEqualTo(failure);
     servers.thenAnswer(2, 1);
     group.publish(2, Optional.of(B));
@@ -203,14 +204,15 @@
    */
   @Test
   void answerOfReplacedPrimaryIsNotAcknowledged() {
-    CompletableFuture<org.alderyard.backend.BackendAnswer> lateAnswer = new CompletableFuture<>();
-    servers.thenRun(statement -> lateAnswer);
+    CompletableFuture<org.alderyard.backend.BackendResponse> lateResponse =
+        new CompletableFuture<>();
+    servers.thenRun(statement -> lateResponse);
     group.publish(1, Optional.of(A));
     CompletableFuture<WriteAnswer> write = writes.run(order(TIMEOUT));
     group.publish(2, Optional.of(B));
 
-    lateAnswer.complete(
-        new org.alderyard.backend.BackendAnswer(
+    lateResponse.complete(
+        new org.alderyard.backend.BackendResponse(
             com.fasterxml.jackson.databind.node.NullNode.instance,
             new org.alderyard.common.id.Position(1, 4)));
 
--- a/alderyard-testkit/src/main/java/org/alderyard/testkit/history/HistoryChecker.java
+++ b/alderyard-testkit/src/main/java/org/alderyard/testkit/history/HistoryChecker.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import org.alderyard.testkit.history.Operation.Kind;
 import org.alderyard.testkit.history.Operation.Result;
-import org.alderyard.testkit.history.Violation.Promise;
+import org.alderyard.testkit.history.Violation.Guarantee;
 
 /** Checks a history of operations against the final lists of the keys. */
 public final class HistoryChecker {
@@ -58,14 +58,14 @@
 
   private void checkFinalCount(Operation append, int count) {
     if (append.result() == Result.OK && count == 0) {
-      report(Promise.NO_WRITE_LOST, append, append.value());
+      report(Guarantee.NO_WRITE_LOST, append, append.value());
     }
     if (count > 1) {
-      report(Promise.NO_WRITE_DOUBLED, append, append.value() + " x" + count);
+      report(Guarantee.NO_WRITE_DOUBLED, append, append.value() + " x" + count);
     }
     boolean refused = append.result() == Result.NOT_RUN || append.result() == Result.FAILED;
     if (refused && count > 0) {
-      report(Promise.NOT_RUN_DID_NOT_RUN, append, append.value());
+      report(Guarantee.NOT_RUN_DID_NOT_RUN, append, append.value());
     }
   }
 
@@ -86,7 +86,7 @@
         .filter(value -> !appended.contains(value))
         .forEach(
             value ->
-                violations.add(new Violation(Promise.OWN_ANSWER, key, source + " has " + value)));
+                violations.add(new Violation(Guarantee.OWN_ANSWER, key, source + " has " + value)));
   }
 
   private void checkStaleness(Operation read) {
@@ -97,9 +97,9 @@
     Set<String> observed = new HashSet<>(read.observed());
     for (Operation append : appendsByKey.getOrDefault(read.key(), List.of())) {
       boolean mustBeVisible =
-          append.acknowledgedAppend() && append.endNanos() < read.startNanos() - boundNanos;
+          append.isAcknowledgedAppend() && append.endNanos() < read.startNanos() - boundNanos;
       if (mustBeVisible && !observed.contains(append.value())) {
-        report(Promise.BOUNDED_STALENESS, read, append.value());
+        report(Guarantee.BOUNDED_STALENESS, read, append.value());
       }
     }
   }
@@ -140,14 +140,14 @@
       if (earlier.endNanos() >= read.startNanos()) {
         continue;
       }
-      if (earlier.acknowledgedAppend() && !observed.contains(earlier.value())) {
-        report(Promise.READ_YOUR_WRITES, read, earlier.value());
+      if (earlier.isAcknowledgedAppend() && !observed.contains(earlier.value())) {
+        report(Guarantee.READ_YOUR_WRITES, read, earlier.value());
       }
       boolean isSessionRead = earlier.kind() == Kind.READ && earlier.maxStalenessMillis().isEmpty();
       if (isSessionRead) {
         earlier.observed().stream()
             .filter(value -> acknowledged.contains(value) && !observed.contains(value))
-            .forEach(value -> report(Promise.MONOTONIC_READS, read, value));
+            .forEach(value -> report(Guarantee.MONOTONIC_READS, read, value));
       }
     }
   }
@@ -155,14 +155,14 @@
   private Set<String> acknowledgedValues(String key) {
     Set<String> values = new HashSet<>();
     appendsByKey.getOrDefault(key, Collections.emptyList()).stream()
-        .filter(Operation::acknowledgedAppend)
+        .filter(Operation::isAcknowledgedAppend)
         .forEach(append -> values.add(append.value()));
     return values;
   }
 
-  private void report(Promise promise, Operation operation, String value) {
+  private void report(Guarantee guarantee, Operation operation, String value) {
     violations.add(
         new Violation(
-            promise, operation.key(), "session " + operation.session() + ", value " + value));
+            guarantee, operation.key(), "session " + operation.session() + ", value " + value));
   }
 }
--- a/alderyard-testkit/src/main/java/org/alderyard/testkit/history/Operation.java
+++ b/alderyard-testkit/src/main/java/org/alderyard/testkit/history/Operation.java
@@ -61,7 +61,7 @@
   }
 
   /** Returns whether this is an append whose success was reported to the caller. */
-  public boolean acknowledgedAppend() {
+  public boolean isAcknowledgedAppend() {
     return kind == Kind.APPEND && result == Result.OK;
   }
 }
--- a/alderyard-testkit/src/main/java/org/alderyard/testkit/history/Violation.java
+++ b/alderyard-testkit/src/main/java/org/alderyard/testkit/history/Violation.java
@@ -3,14 +3,14 @@
 /**
  * A violation of a consistency guarantee.
  *
- * @param promise the violated guarantee
+ * @param guarantee the violated guarantee
  * @param key the key on which the violation was observed
  * @param detail description of the operation and the value
  */
-public record Violation(Promise promise, String key, String detail) {
+public record Violation(Guarantee guarantee, String key, String detail) {
 
   /** The consistency guarantees that are checked. */
-  public enum Promise {
+  public enum Guarantee {
     /** Every acknowledged write is present in the final list. */
     NO_WRITE_LOST,
     /** No write is present more than once in the final list. */
--- a/alderyard-testkit/src/main/java/org/alderyard/testkit/session/ModelConnection.java
+++ b/alderyard-testkit/src/main/java/org/alderyard/testkit/session/ModelConnection.java
@@ -43,7 +43,7 @@
   private boolean closed;
 
   /** Signals that the server ran a statement and its response is lost. */
-  private static final class LostAnswer extends RuntimeException {
+  private static final class LostResponse extends RuntimeException {
     private static final long serialVersionUID = 1L;
   }
 
@@ -59,7 +59,7 @@
     if (closed || server.isUnreachable()) {
       return connectionLost(ErrorCode.CONNECTION_LOST);
     }
-    if (server.isSilent()) {
+    if (server.isUnresponsive()) {
       CompletableFuture<List<SessionReply>> never = new CompletableFuture<>();
       return never
           .orTimeout(timeout.toNanos(), TimeUnit.NANOSECONDS)
@@ -71,7 +71,7 @@
     List<SessionReply> replies = new ArrayList<>();
     try {
       requests.forEach(request -> replies.add(answer(request)));
-    } catch (LostAnswer lostAnswer) {
+    } catch (LostResponse lostResponse) {
       return connectionLost(ErrorCode.CONNECTION_LOST);
     }
     return server.released().thenApply(ignored -> replies);
@@ -120,7 +120,7 @@
         writes(statement)
             || statement instanceof Begin begin && !begin.readOnly()
             || inReadWriteTransaction && needsSlot && !isEmptyCommit;
-    if (requiresPrimary && !group.leads(server)) {
+    if (requiresPrimary && !group.isPrimary(server)) {
       return refuse(RefusalCode.NOT_PRIMARY);
     }
     return needsSlot && server.consumeBusy() ? refuse(RefusalCode.BUSY) : Optional.empty();
@@ -159,7 +159,7 @@
 
   private Optional<Refusal> runInSlot(SessionRequest request, List<String> rows) {
     server.addRun(
-        new ModelServer.Ran(
+        new ModelServer.RanStatement(
             request.id(),
             number,
             request.statement(),
@@ -182,8 +182,8 @@
     } else if (statement instanceof Commit) {
       commit();
     }
-    if (server.consumeLostAnswer()) {
-      throw new LostAnswer();
+    if (server.consumeLostResponse()) {
+      throw new LostResponse();
     }
     return Optional.empty();
   }
--- a/alderyard-testkit/src/main/java/org/alderyard/testkit/session/ModelGroup.java
+++ b/alderyard-testkit/src/main/java/org/alderyard/testkit/session/ModelGroup.java
@@ -26,7 +26,7 @@
  *
  * <pre>{@code
  * ModelGroup group = new ModelGroup("g1", "s1", "s2", "s3");
- * group.server("s1").busy(1);
+ * group.server("s1").refuseBusy(1);
  * group.replicate("s2");
  * group.promote("s2");
  * }</pre>
@@ -101,16 +101,16 @@
   }
 
   /** Returns whether a server is the primary. */
-  public synchronized boolean leads(String name) {
+  public synchronized boolean isPrimary(String name) {
     return name.equals(primary);
   }
 
-  synchronized boolean leads(ModelServer server) {
+  synchronized boolean isPrimary(ModelServer server) {
     return server.state().id().value().equals(primary);
   }
 
   synchronized Position commit(ModelServer server, Map<String, String> items) {
-    Position position = new Position(term, server.received().index() + 1);
+    Position position = new Position(term, server.lastLogPosition().index() + 1);
     server.append(new ModelServer.Entry(position, Map.copyOf(items)));
     return position;
   }
--- a/alderyard-testkit/src/main/java/org/alderyard/testkit/session/ModelServer.java
+++ b/alderyard-testkit/src/main/java/org/alderyard/testkit/session/ModelServer.java
@@ -27,7 +27,7 @@
    * @param values the values of the session at the time of the run
    * @param position the applied position before the statement ran
    */
-  public record Ran(
+  public record RanStatement(
       Optional<String> id,
       int connection,
       SessionStatement statement,
@@ -36,13 +36,13 @@
 
   final ServerState state;
   final List<Entry> entries = new ArrayList<>();
-  final List<Ran> ran = new ArrayList<>();
+  final List<RanStatement> ran = new ArrayList<>();
   private final Map<RefusalCode, Integer> refusals = new EnumMap<>(RefusalCode.class);
   private int applied;
   private boolean unreachable;
-  private boolean silent;
+  private boolean unresponsive;
   private int busy;
-  private int lostAnswers;
+  private int lostResponses;
   private int failures;
   private CompletableFuture<Void> released = CompletableFuture.completedFuture(null);
 
@@ -51,22 +51,22 @@
   }
 
   /** Sets whether new connections are refused and open connections fail at their next use. */
-  public synchronized void unreachable(boolean value) {
+  public synchronized void setUnreachable(boolean value) {
     unreachable = value;
   }
 
   /** Sets whether requests are accepted without a response. */
-  public synchronized void silent(boolean value) {
-    silent = value;
+  public synchronized void setUnresponsive(boolean value) {
+    unresponsive = value;
   }
 
-  /** Delays responses until {@link #letGo()} is called. */
-  public synchronized void hold() {
+  /** Delays responses until {@link #releaseResponses()} is called. */
+  public synchronized void holdResponses() {
     released = new CompletableFuture<>();
   }
 
   /** Sends the delayed responses. */
-  public void letGo() {
+  public void releaseResponses() {
     released().complete(null);
   }
 
@@ -75,7 +75,7 @@
   }
 
   /** Refuses the given number of statements that take a slot. */
-  public synchronized void busy(int statements) {
+  public synchronized void refuseBusy(int statements) {
     busy = statements;
   }
 
@@ -83,8 +83,8 @@
    * Runs the given number of statements that take a slot and closes their connections without a
    * response.
    */
-  public synchronized void loseAnswers(int statements) {
-    lostAnswers = statements;
+  public synchronized void loseResponses(int statements) {
+    lostResponses = statements;
   }
 
   /** Runs the given number of statements that take a slot and responds with a failure. */
@@ -93,7 +93,7 @@
   }
 
   /** Returns the statements of callers that ran at this server, in order. */
-  public synchronized List<Ran> ran() {
+  public synchronized List<RanStatement> ran() {
     return List.copyOf(ran);
   }
 
@@ -116,16 +116,16 @@
     return unreachable;
   }
 
-  synchronized boolean isSilent() {
-    return silent;
+  synchronized boolean isUnresponsive() {
+    return unresponsive;
   }
 
   synchronized boolean consumeBusy() {
     return busy > 0 && busy-- > 0;
   }
 
-  synchronized boolean consumeLostAnswer() {
-    return lostAnswers > 0 && lostAnswers-- > 0;
+  synchronized boolean consumeLostResponse() {
+    return lostResponses > 0 && lostResponses-- > 0;
   }
 
   synchronized boolean consumeFailure() {
@@ -136,7 +136,7 @@
     refusals.merge(code, 1, Integer::sum);
   }
 
-  synchronized void addRun(Ran statement) {
+  synchronized void addRun(RanStatement statement) {
     ran.add(statement);
   }
 
@@ -145,7 +145,7 @@
   }
 
   /** Returns the position of the last log entry, applied or not. */
-  public synchronized Position received() {
+  public synchronized Position lastLogPosition() {
     return entries.isEmpty() ? Position.NONE : entries.get(entries.size() - 1).position();
   }
 
--- a/alderyard-testkit/src/main/java/org/alderyard/testkit/standin/LogFile.java
+++ b/alderyard-testkit/src/main/java/org/alderyard/testkit/standin/LogFile.java
@@ -87,7 +87,7 @@
       return;
     }
     try {
-      writer.write(new String(BackendJson.bytes(node), StandardCharsets.UTF_8));
+      writer.write(new String(BackendJson.serialize(node), StandardCharsets.UTF_8));
       writer.newLine();
       writer.flush();
     } catch (IOException failure) {
--- a/alderyard-testkit/src/main/java/org/alderyard/testkit/standin/PlainHttp.java
+++ b/alderyard-testkit/src/main/java/org/alderyard/testkit/standin/PlainHttp.java
@@ -25,7 +25,7 @@
         HttpRequest.newBuilder(uri)
             .timeout(TIMEOUT)
             .header("Content-Type", "application/json")
-            .POST(HttpRequest.BodyPublishers.ofByteArray(BackendJson.bytes(body)))
+            .POST(HttpRequest.BodyPublishers.ofByteArray(BackendJson.serialize(body)))
             .build();
     try {
       HttpResponse<byte[]> response = CLIENT.send(request, HttpResponse.BodyHandlers.ofByteArray());
--- a/alderyard-testkit/src/main/java/org/alderyard/testkit/standin/StandInServer.java
+++ b/alderyard-testkit/src/main/java/org/alderyard/testkit/standin/StandInServer.java
@@ -16,9 +16,9 @@
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.alderyard.backend.BackendAnswer;
 import org.alderyard.backend.BackendException;
 import org.alderyard.backend.BackendException.Refusal;
+import org.alderyard.backend.BackendResponse;
 import org.alderyard.backend.BackendStatement;
 import org.alderyard.backend.StatementKind;
 import org.alderyard.backend.http.BackendJson;
@@ -181,10 +181,10 @@
     BackendStatement statement = BackendJson.statement(body);
     OpenTransaction transaction = exchange.getConnection().getAttachment(TRANSACTION);
     if (transaction != null) {
-      return BackendJson.answer(
-          new BackendAnswer(transaction.run(statement), state.report().applied()));
+      return BackendJson.response(
+          new BackendResponse(transaction.run(statement), state.report().applied()));
     }
-    return BackendJson.answer(
+    return BackendJson.response(
         statement.kind() == StatementKind.READ
             ? state.read(statement)
             : state.write(List.of(statement), statement.term()));
@@ -204,10 +204,10 @@
       throw new BackendException(Refusal.NO_TRANSACTION, "no transaction is open");
     }
     if (transaction.writes.isEmpty()) {
-      return BackendJson.answer(
-          new BackendAnswer(JsonNodeFactory.instance.nullNode(), state.report().applied()));
+      return BackendJson.response(
+          new BackendResponse(JsonNodeFactory.instance.nullNode(), state.report().applied()));
     }
-    return BackendJson.answer(state.write(transaction.writes, transaction.term));
+    return BackendJson.response(state.write(transaction.writes, transaction.term));
   }
 
   private JsonNode follow(JsonNode body) {
@@ -241,13 +241,13 @@
         Thread.currentThread().interrupt();
       }
     }
-    SentResponse sent = new SentResponse(number(exchange), BackendJson.bytes(answer));
+    SentResponse sent = new SentResponse(number(exchange), BackendJson.serialize(answer));
     SentResponse previous = exchange.getConnection().putAttachment(LAST_RESPONSE, sent);
     if (statement && switches.repeatAnswers && previous != null) {
       sent = previous;
     }
     exchange.setStatusCode(status);
-    exchange.getResponseHeaders().put(BackendPaths.REQUEST_NUMBER, sent.number);
+    exchange.getResponseHeaders().put(BackendPaths.REQUEST_NUMBER_HEADER, sent.number);
     exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
     if (statement && switches.truncateAnswers) {
       truncate(exchange, sent.body);
@@ -257,7 +257,8 @@
   }
 
   private static String number(HttpServerExchange exchange) {
-    return Optional.ofNullable(exchange.getRequestHeaders().getFirst(BackendPaths.REQUEST_NUMBER))
+    return Optional.ofNullable(
+            exchange.getRequestHeaders().getFirst(BackendPaths.REQUEST_NUMBER_HEADER))
         .orElse("");
   }
 
--- a/alderyard-testkit/src/main/java/org/alderyard/testkit/standin/StandInState.java
+++ b/alderyard-testkit/src/main/java/org/alderyard/testkit/standin/StandInState.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.alderyard.backend.BackendAnswer;
 import org.alderyard.backend.BackendException;
 import org.alderyard.backend.BackendException.Refusal;
+import org.alderyard.backend.BackendResponse;
 import org.alderyard.backend.BackendStatement;
 import org.alderyard.backend.LedgerKey;
 import org.alderyard.backend.ServerReport;
@@ -67,15 +67,15 @@
     return count == 0 ? Position.NONE : log.get(count - 1).position();
   }
 
-  synchronized BackendAnswer read(BackendStatement statement) {
-    return new BackendAnswer(data.run(statement), positionAt(applied));
+  synchronized BackendResponse read(BackendStatement statement) {
+    return new BackendResponse(data.run(statement), positionAt(applied));
   }
 
   /**
    * Runs the writes of a transaction as one log entry. A resend of recorded writes returns the
    * result from the ledger.
    */
-  synchronized BackendAnswer write(List<BackendStatement> writes, long writeTerm) {
+  synchronized BackendResponse write(List<BackendStatement> writes, long writeTerm) {
     requirePrimary(writeTerm);
     Optional<LedgerKey> key =
         options.ledger() && !writes.isEmpty() ? writes.get(0).ledgerKey() : Optional.empty();
@@ -86,7 +86,7 @@
             Refusal.REQUEST_ID_REUSED,
             "request id " + key.get().request() + " is in use for another write");
       }
-      return new BackendAnswer(earlier.result(), earlier.position());
+      return new BackendResponse(earlier.result(), earlier.position());
     }
     KeyValues after = writes.size() > 1 ? data.copy() : data;
     JsonNode result = null;
@@ -98,7 +98,7 @@
     appendToLog(entry);
     applied = log.size();
     notifyAll();
-    return new BackendAnswer(result, entry.position());
+    return new BackendResponse(result, entry.position());
   }
 
   private void appendToLog(LogEntry entry) {
--- a/alderyard-testkit/src/test/java/org/alderyard/testkit/history/HistoryCheckerTest.java
+++ b/alderyard-testkit/src/test/java/org/alderyard/testkit/history/HistoryCheckerTest.java
@@ -7,7 +7,7 @@
 import java.util.OptionalLong;
 import org.alderyard.testkit.history.Operation.Kind;
 import org.alderyard.testkit.history.Operation.Result;
-import org.alderyard.testkit.history.Violation.Promise;
+import org.alderyard.testkit.history.Violation.Guarantee;
 import org.junit.jupiter.api.Test;
 
 /** Violates each guarantee once, with a minimal history. */
@@ -29,31 +29,31 @@
 
   @Test
   void reportsLostWrite() {
-    assertViolation(Promise.NO_WRITE_LOST, List.of(), append("s1", "a", Result.OK, 0));
+    assertViolation(Guarantee.NO_WRITE_LOST, List.of(), append("s1", "a", Result.OK, 0));
   }
 
   @Test
   void reportsDuplicateWriteWithUnknownOutcome() {
     assertViolation(
-        Promise.NO_WRITE_DOUBLED, List.of("a", "a"), append("s1", "a", Result.UNKNOWN, 0));
+        Guarantee.NO_WRITE_DOUBLED, List.of("a", "a"), append("s1", "a", Result.UNKNOWN, 0));
   }
 
   @Test
   void reportsRefusedWriteThatRan() {
     assertViolation(
-        Promise.NOT_RUN_DID_NOT_RUN, List.of("a"), append("s1", "a", Result.NOT_RUN, 0));
+        Guarantee.NOT_RUN_DID_NOT_RUN, List.of("a"), append("s1", "a", Result.NOT_RUN, 0));
   }
 
   @Test
   void reportsSessionThatMissesItsOwnWrite() {
     assertViolation(
-        Promise.READ_YOUR_WRITES, List.of("a"), append("s1", "a", Result.OK, 0), read("s1", 4));
+        Guarantee.READ_YOUR_WRITES, List.of("a"), append("s1", "a", Result.OK, 0), read("s1", 4));
   }
 
   @Test
   void reportsNonMonotonicReads() {
     assertViolation(
-        Promise.MONOTONIC_READS,
+        Guarantee.MONOTONIC_READS,
         List.of("a"),
         append("s1", "a", Result.OK, 0),
         read("s2", 4, "a"),
@@ -63,7 +63,7 @@
   @Test
   void reportsReadBeyondItsMaximumStaleness() {
     assertViolation(
-        Promise.BOUNDED_STALENESS,
+        Guarantee.BOUNDED_STALENESS,
         List.of("a"),
         append("s1", "a", Result.OK, 0),
         bounded("s2", 200, 100));
@@ -72,17 +72,17 @@
   @Test
   void reportsValueOfAnotherKey() {
     assertViolation(
-        Promise.OWN_ANSWER,
+        Guarantee.OWN_ANSWER,
         List.of("a"),
         append("s1", "a", Result.OK, 0),
         read("s2", 4, "a", "of-another-key"));
   }
 
   private static void assertViolation(
-      Promise promise, List<String> finalList, Operation... operations) {
+      Guarantee guarantee, List<String> finalList, Operation... operations) {
     var violations = HistoryChecker.check(List.of(operations), Map.of("k", finalList));
-    assertThat(violations.stream().map(Violation::promise).distinct().toList())
-        .containsExactly(promise);
+    assertThat(violations.stream().map(Violation::guarantee).distinct().toList())
+        .containsExactly(guarantee);
   }
 
   private static Operation append(String session, String value, Result result, long millis) {
--- a/alderyard-testkit/src/test/java/org/alderyard/testkit/standin/AnswerFaultsTest.java
+++ b/alderyard-testkit/src/test/java/org/alderyard/testkit/standin/AnswerFaultsTest.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
-import org.alderyard.backend.BackendAnswer;
+import org.alderyard.backend.BackendResponse;
 import org.alderyard.backend.BackendStatement;
 import org.alderyard.backend.ServerConnection;
 import org.alderyard.backend.StatementKind;
@@ -129,11 +129,11 @@
     assertThat(connection.usable()).isFalse();
   }
 
-  private CompletableFuture<BackendAnswer> write(String key, String value) {
+  private CompletableFuture<BackendResponse> write(String key, String value) {
     return run(key, value, LONG_TIMEOUT);
   }
 
-  private CompletableFuture<BackendAnswer> run(String key, String value, Duration timeout) {
+  private CompletableFuture<BackendResponse> run(String key, String value, Duration timeout) {
     return connection.run(statement("put", key, value), timeout);
   }
 
@@ -147,7 +147,7 @@
         Optional.empty());
   }
 
-  private static AlderyardException failureOf(CompletableFuture<BackendAnswer> answer) {
-    return Futures.typed(assertThrows(CompletionException.class, answer::join));
+  private static AlderyardException failureOf(CompletableFuture<BackendResponse> response) {
+    return Futures.typed(assertThrows(CompletionException.class, response::join));
   }
 }
