--- a/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/ServerLimiters.java
+++ b/alderyard-proxy/src/main/java/org/alderyard/proxy/limit/ServerLimiters.java
@@ -17,7 +17,8 @@
 /**
  * The limiters of all servers, for use by the worker threads of a proxy.
  *
- * <p>Thread-safe. The lock is this object, and no other lock is acquired while it is held. Futures
+ * <p>Thread-safe. The lock is this object; it is acquired before the lock of {@link
+ * org.alderyard.proxy.lease.LeaseTable}, and no other lock is acquired while it is held. Futures
  * are completed by the executor after the lock is released.
  */
 public final class ServerLimiters {
